--- /dev/null
+++ b/tests/cluster/test_golden.py
@@ -0,0 +1,250 @@
+"""Bytes on the wire and on disk, and seeded runs of the control state, as the build of 2 December 2026 (ac0837a) wrote them.
+
+`golden/messages.txt` holds one line a message or stored form: its label and its bytes. `golden/replica_runs.txt` holds, for seeded
+runs of several control planes under faults, a digest of every event and every command so far. Both are kept as they were written:
+a rolling restart meets the older build's messages, and a change of names or shape changes no decision.
+"""
+
+import hashlib
+import pathlib
+import shutil
+import tempfile
+
+import msgspec
+import testtools
+from testtools.matchers import Equals
+
+from fernyard.cluster.common import messages as common_messages
+from fernyard.cluster.common.messages import (
+    ConfigurationUpdate,
+    Count,
+    GatewayAddress,
+    GatewayHeartbeat,
+    HeartbeatReply,
+    LeaseAsk,
+    LeaseGrant,
+    PeerNotice,
+    Plan,
+    RegistryUpdate,
+    Route,
+    Service,
+    Tenant,
+    Total,
+    Worker,
+    decode_configuration_update,
+    decode_registry_update,
+)
+from fernyard.cluster.control_plane import events as e
+from fernyard.cluster.control_plane.messages import (
+    Accept,
+    Accepted,
+    CarryChange,
+    CarryResult,
+    Decision,
+    Prepare,
+    Promise,
+    Received,
+    Refusal,
+    ReplicaHeartbeat,
+    StoredBody,
+    decode,
+    decode_body,
+    encode,
+)
+from fernyard.cluster.control_plane.recovery import recover
+from fernyard.cluster.control_plane.replica import Replica, ReplicaSettings
+from fernyard.cluster.control_plane.state import (
+    Ballot,
+    BeginTerm,
+    ConfigurationId,
+    Confirm,
+    ControlState,
+    FinishReplacement,
+    Member,
+    ReplaceMember,
+    SetConfiguration,
+    SetEvacuation,
+    Vote,
+    ZoneOrder,
+)
+from fernyard.cluster.control_plane.store import Store
+
+from .schedules import Schedule
+
+GOLDEN = pathlib.Path(__file__).parent / "golden"
+ID, OLDER = ConfigurationId.of(7, b"seven"), ConfigurationId.of(6, b"six")
+MEMBERS = (Member("10.0.0.1", 1), Member("10.0.0.2", 1), Member("10.0.0.3", 99))
+BALLOT, HIGHER = Ballot(3, 41), Ballot(4, 17)
+STATE = ControlState(
+    9, ID, (OLDER,), (ZoneOrder("z1", 2, True), ZoneOrder("z2", 1, False)), 2, MEMBERS, MEMBERS[:2], 5, 77
+)
+VOTE = Vote(MEMBERS[0], HIGHER, BALLOT, STATE)
+PLAN = Plan(
+    "00000007-0000000000000abc",
+    [Service("anaquel", 2.0, 10.0, 100)],
+    {"api.example": [Route("search", "/search", "idempotent", 3.0, 0.8, 1, [("anaquel", 1.0)], 2, True, ["r1"])]},
+    [Tenant("shop", 2, 50.0, 100.0, ["r1"])],
+    {"key": 0},
+    True,
+    16384,
+    1 << 20,
+    3.0,
+    15.0,
+)
+WORKERS = {"w1": Worker("w1", "anaquel", "10.1.0.1:80", "z1", 6, False, 12.5), "w2": None}
+GATEWAYS = {"g1": GatewayAddress("g1", "10.0.1.1", "z1", "r1", "10.0.1.1:80", True)}
+
+# Label: (value, its decoder). The labels stay; the classes may be renamed.
+FORMS = {
+    "lease request": (LeaseAsk("10.0.0.1/1", 4, 9), decode),
+    "lease reply": (LeaseGrant("10.0.0.2/1", 4, 9, False, 12), decode),
+    "lease reply, default": (LeaseGrant("10.0.0.2/1", 4, 9, True), decode),
+    "gateway heartbeat": (
+        GatewayHeartbeat("g1", 123, "10.0.1.1", "z1", "r1", "10.0.1.1:80", True, False, 9, (5, 3)),
+        common_messages.decode,
+    ),
+    "heartbeat reply": (HeartbeatReply("c1", ["10.0.0.1", "10.0.0.2"], 9, (5, 3)), common_messages.decode),
+    "peer notice": (PeerNotice("g1", "10.0.1.1", 9, (5, 3)), common_messages.decode),
+    "count": (Count(8, "g1", 123, 456, "shop", 2.0, 100.0, 1.0, 3.0, 7.0, (5, 3)), common_messages.decode),
+    "total": (Total(8, 123, 456, 789, 10.0, 4.0, 0.25, (5, 3)), common_messages.decode),
+    "configuration update": (ConfigurationUpdate(9, PLAN, ["z1"]), decode_configuration_update),
+    "configuration update, plan held": (ConfigurationUpdate(9, None, []), decode_configuration_update),
+    "registry update": (RegistryUpdate((5, 2), (5, 3), WORKERS, GATEWAYS, 1.5), decode_registry_update),
+    "replica heartbeat": (
+        ReplicaHeartbeat("c1", MEMBERS[0], 41, 5, 17, 4, BALLOT, None, 9, True, True, False, True, (5, 3), True),
+        decode,
+    ),
+    "replica heartbeat, default": (
+        ReplicaHeartbeat("c1", MEMBERS[0], 41, 5, 0, 0, None, BALLOT, 0, False, False, True, False, (0, 0)),
+        decode,
+    ),
+    "prepare": (Prepare(BALLOT), decode),
+    "promise": (Promise(MEMBERS[1], HIGHER, BALLOT, STATE), decode),
+    "promise, nothing accepted": (Promise(MEMBERS[1], HIGHER, None, None), decode),
+    "accept": (Accept(BALLOT, STATE), decode),
+    "accepted": (Accepted(MEMBERS[2], BALLOT), decode),
+    "refusal": (Refusal(BALLOT, HIGHER), decode),
+    "decision": (Decision(BALLOT, STATE), decode),
+    "forwarded configuration": (CarryChange(3, 41, SetConfiguration(ID), 17, 5), decode),
+    "forwarded evacuation": (CarryChange(3, 41, SetEvacuation("z1", True), 17, 5), decode),
+    "forwarded term": (CarryChange(3, 41, BeginTerm(77, 4), 17, 5), decode),
+    "forwarded replacement": (CarryChange(3, 41, ReplaceMember(2, 5, MEMBERS[0], MEMBERS[2]), 17, 5), decode),
+    "forwarded addition": (CarryChange(3, 41, ReplaceMember(2, 5, None, MEMBERS[2]), 17, 5), decode),
+    "forwarded end of replacement": (CarryChange(3, 41, FinishReplacement(2), 17, 5), decode),
+    "forwarded confirmation": (CarryChange(3, 41, Confirm(), 17, 5), decode),
+    "forwarded result": (CarryResult(3, 41), decode),
+    "forwarded result, conflict": (CarryResult(3, 41, OLDER), decode),
+    "stored body": (StoredBody(ID, b"seven"), decode_body),
+    "stored vote": (VOTE, msgspec.msgpack.Decoder(Vote).decode),
+    "stored first vote": (Vote(MEMBERS[0], None, Ballot(0, 0), STATE), msgspec.msgpack.Decoder(Vote).decode),
+}
+
+# Labels of events and commands in the runs, and how to write their fields.
+LABELS = {
+    e.PutConfiguration: "put",
+    e.OrderEvacuation: "evacuation",
+    e.ReadConfiguration: "read",
+    e.Expired: "expired",
+    e.Stored: "stored",
+    e.BodyReceived: "body",
+    e.LeaseChanged: "lease",
+    e.Leave: "leave",
+    e.Tick: "tick",
+    Received: "received",
+    e.Save: "save",
+    e.Erase: "erase",
+    e.Send: "send",
+    e.PushBody: "push",
+    e.FetchBody: "fetch",
+    e.Reply: "reply",
+    e.Publish: "publish",
+}
+SEEDS = range(12)
+EVERY = 200  # steps between two digests of a run
+
+
+def fields_of(value):
+    """The values of an event's or command's fields, in their order, as bytes."""
+    names = [name for name in getattr(value, "__slots__", ()) if not name.startswith("__")]
+    return [encode(getattr(value, name)) for name in names]
+
+
+class Recorder:
+    """Digests of all that the replicas of one run took and returned."""
+
+    def __init__(self):
+        self.digest, self.steps, self.lines = hashlib.sha256(), 0, []
+
+    def note(self, replica, now, event, commands):
+        self.digest.update(f"{replica.settings.ip} {now:.6f}".encode())
+        for value in (event, *commands):
+            self.digest.update(LABELS[type(value)].encode())
+            for content in fields_of(value):
+                self.digest.update(content)
+        self.steps += 1
+        if self.steps % EVERY == 0:
+            self.lines.append(f"{self.steps} {self.digest.hexdigest()[:16]}")
+
+    def replica(self):
+        """A kind of replica that notes each of its steps here."""
+        recorder = self
+
+        class RecordedReplica(Replica):
+            def step(self, now, event):
+                commands = super().step(now, event)
+                recorder.note(self, now, event, commands)
+                return commands
+
+        return RecordedReplica
+
+
+def recorded(seed):
+    """The digests of a run of random orders and faults, a line each."""
+    recorder = Recorder()
+    schedule = Schedule(seed, replica=recorder.replica())
+    for _ in range(30):
+        schedule.step()
+    return recorder.lines
+
+
+def kept_lines(name):
+    return (GOLDEN / name).read_text(encoding="utf-8").splitlines()
+
+
+def all_forms():
+    return [f"{label}\t{encode(value).hex()}" for label, (value, _) in FORMS.items()]
+
+
+def all_runs():
+    return [f"{seed} {line}" for seed in SEEDS for line in recorded(seed)]
+
+
+class TestGolden(testtools.TestCase):
+    def test_messages_and_stored_forms_keep_their_bytes(self):
+        self.assertThat(all_forms(), Equals(kept_lines("messages.txt")))
+
+    def test_bytes_of_the_earlier_build_are_read(self):
+        for line in kept_lines("messages.txt"):
+            label, content = line.split("\t")
+            value, read = FORMS[label]
+            self.assertThat(read(bytes.fromhex(content)), Equals(value), label)
+
+    def test_runs_take_the_same_decisions(self):
+        self.assertThat(all_runs(), Equals(kept_lines("replica_runs.txt")))
+
+    def test_a_disk_of_the_earlier_build_is_read(self):
+        """Its vote and its configuration, under the names of areas that it gave them."""
+        folder = tempfile.mkdtemp()
+        self.addCleanup(shutil.rmtree, folder)
+        store = Store(folder)
+        kept = dict(line.split("\t") for line in kept_lines("messages.txt"))
+        store.save("vote", bytes.fromhex(kept["stored vote"]))
+        store.save("body-" + str(ID), bytes.fromhex(kept["stored body"]))
+        settings = ReplicaSettings("c1", "10.0.0.1", True, ("10.0.0.1",), 1)
+        recovered = recover(Store(folder).load(), settings, False, 5)
+        self.assertThat((recovered.vote, recovered.bodies, recovered.unreadable), Equals((VOTE, {ID: b"seven"}, [])))
+
+
+if __name__ == "__main__":
+    (GOLDEN / "messages.txt").write_text("\n".join(all_forms()) + "\n", encoding="utf-8")
+    (GOLDEN / "replica_runs.txt").write_text("\n".join(all_runs()) + "\n", encoding="utf-8")
