--- a/fernyard/accord/register.py
+++ b/fernyard/accord/register.py
@@ -19,7 +19,7 @@
 from hashlib import blake2b
 from random import Random
 
-from .ballots import Acceptor, Granted, Refused, Request, StoreVote, newest
+from .acceptor import Acceptor, Granted, Refused, Request, StoreVote, newest
 
 SECOND = 10_000
 HELLO = SECOND // 2  # between two words of a planner without a store
--- a/fernyard/cluster/__main__.py
+++ b/fernyard/cluster/__main__.py
@@ -4,9 +4,9 @@
 import sys
 
 from .common.errors import ClusterError
-from .common.logs import Part, set_up
+from .common.logs import ComponentLogger, set_up
 
-log = Part("start")
+log = ComponentLogger("start")
 
 
 def data_plane():
--- a/fernyard/cluster/common/errors.py
+++ b/fernyard/cluster/common/errors.py
@@ -25,7 +25,7 @@
     CODE, DO = "W200", "mend the configuration and send it again"
 
 
-class NumberTakenError(ClusterError):
+class ConfigurationConflictError(ClusterError):
     """Another configuration is held under that number; answered 409."""
 
     CODE, DO = "W201", "read what is held with GET /-/config, and send yours under a higher number"
--- a/fernyard/cluster/common/lease.py
+++ b/fernyard/cluster/common/lease.py
@@ -5,7 +5,7 @@
 TURN = 0.3  # between the first tries of two that would take it
 
 
-class Granter:
+class LeaseVoter:
     """One vote. After a start nothing is granted for a length: what was granted before it is not remembered."""
 
     def __init__(self, now, fresh):
@@ -23,7 +23,7 @@
             self.until = min(self.until, now)
 
 
-class Holder:
+class LeaseCandidate:
     """One that would do the duty. Those that would take turns by rank, counted from when their votes are free; else all
     ask at once, each votes for itself, and they do so again together whenever the votes end (seen on the bench: no list
     for a whole day). One whose asks nobody answers lets ever longer pauses, in which the others' votes are free: its
--- a/fernyard/cluster/common/logs.py
+++ b/fernyard/cluster/common/logs.py
@@ -19,7 +19,7 @@
     )
 
 
-class Part:
+class ComponentLogger:
     """A logger of one part; every sentence begins with its prefix."""
 
     def __init__(self, prefix):
--- a/fernyard/cluster/common/messages.py
+++ b/fernyard/cluster/common/messages.py
@@ -5,20 +5,20 @@
 
 import msgspec
 
-NONE = (0, 0)
+NO_VERSION = (0, 0)
 
 
 class Message(msgspec.Struct, array_like=True, tag=True, omit_defaults=True):
     """Base: an array that begins with the name of its kind."""
 
 
-class LeaseAsk(Message):
+class LeaseRequest(Message, tag="LeaseAsk"):
     node: str
     ask: int
     epoch: int
 
 
-class LeaseGrant(Message):
+class LeaseReply(Message, tag="LeaseGrant"):
     """`seen`: the highest epoch that the member has voted for."""
 
     node: str
@@ -32,7 +32,7 @@
     """A gateway tells the control planes that watch it how it is."""
 
     node: str
-    life: int
+    incarnation: int
     ip: str
     zone: str
     region: str
@@ -63,14 +63,14 @@
 
 
 class Count(Message):
-    """One add to a tenant's bucket. `units` are kept if the limit allows. `owed`: all units that this life of the gateway
+    """One add to a tenant's bucket. `units` are kept if the limit allows. `owed`: all units that this incarnation of the gateway
     let past without asking, less those it gave back: a sum, so that none is lost or counted twice with a datagram.
     `length` of a bucket in seconds; `recent`: units this gateway let past in the last bucket's length, for a counter that
     knows nothing of it. `counter`: the mark of the gateway that is asked (`quota.counter_mark`)."""
 
     ask: int
     node: str
-    life: int
+    incarnation: int
     counter: int
     tenant: str
     length: float
@@ -83,19 +83,19 @@
 
 class Total(Message):
     """The totals after an add: previous and current bucket, and how much of the window lies in the previous one.
-    `life`: of the gateway that asked; `counter` and `counter_life`: who answers."""
+    `incarnation`: of the gateway that asked; `counter` and `counter_incarnation`: who answers."""
 
     ask: int
-    life: int
+    incarnation: int
     counter: int
-    counter_life: int
+    counter_incarnation: int
     previous: float
     current: float
     overlap: float
     registry: tuple[int, int]
 
 
-Datagram = LeaseAsk | LeaseGrant | GatewayHeartbeat | HeartbeatReply | PeerNotice | Count | Total
+Datagram = LeaseRequest | LeaseReply | GatewayHeartbeat | HeartbeatReply | PeerNotice | Count | Total
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Datagram).decode
 
--- a/fernyard/cluster/common/registry.py
+++ b/fernyard/cluster/common/registry.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from .messages import NONE, RegistryUpdate
+from .messages import NO_VERSION, RegistryUpdate
 
 REMEMBERED = 256  # keys that went
 
@@ -16,7 +16,7 @@
     whichever marks it or we have skipped; `base`: from where on that is known here."""
 
     def __init__(self):
-        self.mark, self.base, self.workers, self.gateways = NONE, NONE, {}, {}
+        self.mark, self.base, self.workers, self.gateways = NO_VERSION, NO_VERSION, {}, {}
         self.changed, self.gone = ({}, {}), deque()
 
     def write(self, epoch, workers, gateways):
@@ -52,13 +52,13 @@
     def keep(self):
         """What a disk may keep of it, for a quick start: workers without times, whose clock ends with the process."""
         workers = {key: msgspec.structs.replace(worker, cold_until=0.0) for key, worker in self.workers.items()}
-        return RegistryUpdate(NONE, self.mark, workers, self.gateways, 0.0)
+        return RegistryUpdate(NO_VERSION, self.mark, workers, self.gateways, 0.0)
 
     def since(self, mark, now):
         """What a follower at `mark` is to be told."""
         mark = tuple(mark)
         if not self.base <= mark <= self.mark:
-            return RegistryUpdate(NONE, self.mark, self.workers, self.gateways, now)
+            return RegistryUpdate(NO_VERSION, self.mark, self.workers, self.gateways, now)
         workers, gateways = (
             {key: held.get(key) for key, at in changed.items() if at > mark}
             for held, changed in zip((self.workers, self.gateways), self.changed)
@@ -68,13 +68,13 @@
     def follow(self, news, now):
         """Takes news that leads further; True if it did. Times are turned into our own clock."""
         mark, since = tuple(news.mark), tuple(news.since)
-        if mark <= self.mark or since != NONE and since != self.mark:
+        if mark <= self.mark or since != NO_VERSION and since != self.mark:
             return False
         shift = now - news.now
         for worker in news.workers.values():
             if worker is not None and worker.cold_until:
                 worker.cold_until += shift
-        if since == NONE:
+        if since == NO_VERSION:
             self.workers, self.gateways = dict(news.workers), dict(news.gateways)
             self._begin(mark)
         else:
--- a/fernyard/cluster/common/replay.py
+++ b/fernyard/cluster/common/replay.py
@@ -23,26 +23,26 @@
         return True
 
 
-class Lives:
-    """The lives of one peer, the newest last: what comes late from a former one is told apart. Lives are random, so one
+class Incarnations:
+    """The incarnations of one peer, the newest last: what comes late from a former one is told apart. Incarnations are random, so one
     that was not heard of before is taken for the newest; if it was in truth an older one, whose first message here came
     late, the true one holds again once the other was silent for `LATEST`."""
 
-    KEPT, LATEST = 8, 2.0  # lives; seconds by which a message may be late
+    KEPT, LATEST = 8, 2.0  # incarnations; seconds by which a message may be late
 
     def __init__(self):
-        self.lives, self.heard_at = [], 0.0
+        self.incarnations, self.heard_at = [], 0.0
 
     @property
     def current(self):
-        return self.lives[-1] if self.lives else None
+        return self.incarnations[-1] if self.incarnations else None
 
-    def hear(self, now, life):
-        """Is it the life that holds now?"""
-        if life != self.current:
-            if life in self.lives and now - self.heard_at < self.LATEST:
+    def hear(self, now, incarnation):
+        """Is it the incarnation that holds now?"""
+        if incarnation != self.current:
+            if incarnation in self.incarnations and now - self.heard_at < self.LATEST:
                 return False
-            others = [other for other in self.lives if other != life]
-            self.lives = [*others[1 - self.KEPT :], life]
+            others = [other for other in self.incarnations if other != incarnation]
+            self.incarnations = [*others[1 - self.KEPT :], incarnation]
         self.heard_at = now
         return True
--- a/fernyard/cluster/common/transport.py
+++ b/fernyard/cluster/common/transport.py
@@ -7,10 +7,10 @@
 from aiohttp.web_response import Response
 from aiohttp.web_server import Server
 
-from .logs import Part
+from .logs import ComponentLogger
 from .messages import decode, encode
 
-log = Part("internal")
+log = ComponentLogger("internal")
 
 
 class Datagrams(asyncio.DatagramProtocol):
@@ -35,7 +35,7 @@
         try:
             self.heard(message, address)
         except Exception:
-            log.fault("A message broke its handler.", kind=type(message).__name__)
+            log.exception("A message broke its handler.", kind=type(message).__name__)
 
     def send(self, message, address):
         if self.transport is not None and not self.transport.is_closing():
@@ -58,7 +58,7 @@
         except (ConnectionError, asyncio.CancelledError):
             raise
         except Exception:
-            log.fault("A call broke its handler.", path=request.path)
+            log.exception("A call broke its handler.", path=request.path)
             status, body, headers = 500, b"", None
         return Response(status=status, body=body, headers=headers)
 
--- a/fernyard/cluster/control_plane/api.py
+++ b/fernyard/cluster/control_plane/api.py
@@ -2,14 +2,14 @@
 
 import msgspec
 
-from ..common.errors import ConfigurationError, NumberTakenError
-from ..common.logs import Part
+from ..common.errors import ConfigurationConflictError, ConfigurationError
+from ..common.logs import ComponentLogger
 from ..common.messages import ConfigurationUpdate
-from . import events as e
-from .calls import find
+from . import events
+from .call_table import find
 from .messages import StoredBody, decode_body, encode
 
-log = Part("control-plane")
+log = ComponentLogger("control-plane")
 JSON = {"Content-Type": "application/json"}
 encode_json = msgspec.json.encode
 
@@ -44,15 +44,15 @@
         except ConfigurationError as why:
             log.info("A configuration is refused.", **why.fields())
             return 400, encode_json(why.fields()), JSON
-        reply = await self.process.call(lambda ticket: e.PutConfiguration(ticket, id, body))
+        reply = await self.process.call(lambda ticket: events.ConfigurationSubmitted(ticket, id, body))
         if reply.status == 409:
-            why = NumberTakenError("another configuration is held under that number", str(reply.taken))
+            why = ConfigurationConflictError("another configuration is held under that number", str(reply.taken))
             log.warning("A configuration is refused.", sent=str(id), **why.fields())
             return 409, encode_json(why.fields()), JSON
         return reply.status, b"", None
 
     async def get_config(self, request, _):
-        reply = await self.process.call(e.ReadConfiguration)
+        reply = await self.process.call(events.ReadRequested)
         return reply.status, reply.body, JSON if reply.status == 200 else None
 
     async def evacuate(self, request, zone):
@@ -64,7 +64,7 @@
     async def _order(self, zone, on):
         if zone not in self.process.set.zones:
             return 404, b"", None
-        reply = await self.process.call(lambda ticket: e.OrderEvacuation(ticket, zone, on))
+        reply = await self.process.call(lambda ticket: events.EvacuationSubmitted(ticket, zone, on))
         return reply.status, b"", None
 
     async def status(self, request, _):
@@ -87,7 +87,7 @@
     async def store_body(self, request, _):
         """The bytes of a configuration from another replica; harmless when doubled."""
         stored = decode_body(await request.read())
-        self.process.tell(e.BodyReceived(stored.id, stored.body))
+        self.process.tell(events.BodyReceived(stored.id, stored.body))
         return 200, b"", None
 
     async def body(self, request, _):
--- a/fernyard/cluster/control_plane/bodies.py
+++ b/fernyard/cluster/control_plane/bodies.py
@@ -28,7 +28,7 @@
     retry_at: float = 0.0
 
 
-class Bodies:
+class BodyCache:
     def __init__(self, now, loaded, has_disk):
         """`loaded`: {ConfigurationId: bytes} read from the disk."""
         self.has_disk = has_disk
--- a/fernyard/cluster/control_plane/discovery.py
+++ b/fernyard/cluster/control_plane/discovery.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define
-class Seen:
+class TrackedGateway:
     heartbeat: object
     at: float
     gap: float = 0.0
@@ -38,9 +38,9 @@
     def heard(self, now, heartbeat):
         """A gateway told how it is."""
         seen = self.seen.get(heartbeat.node)
-        known = seen is not None and seen.heartbeat.life == heartbeat.life
+        known = seen is not None and seen.heartbeat.incarnation == heartbeat.incarnation
         gap = max(seen.gap * GAP_FADE, min(MOST_SILENT, now - seen.at)) if known else 0.0
-        self.seen[heartbeat.node] = Seen(heartbeat, now, gap)
+        self.seen[heartbeat.node] = TrackedGateway(heartbeat, now, gap)
         self.highest = max(self.highest, heartbeat.registry[0])
 
     def gateways(self, now):
--- a/fernyard/cluster/control_plane/events.py
+++ b/fernyard/cluster/control_plane/events.py
@@ -7,7 +7,7 @@
 
 
 @attrs.define
-class PutConfiguration:
+class ConfigurationSubmitted:
     """A valid configuration came."""
 
     ticket: int
@@ -16,26 +16,26 @@
 
 
 @attrs.define
-class OrderEvacuation:
+class EvacuationSubmitted:
     ticket: int
     zone: str
     on: bool
 
 
 @attrs.define
-class ReadConfiguration:
+class ReadRequested:
     ticket: int
 
 
 @attrs.define
-class Expired:
+class CallExpired:
     """The caller waits no longer: it is told that its order may or may not be in force."""
 
     ticket: int
 
 
 @attrs.define
-class Stored:
+class AreaStored:
     """The disk kept an area, or refused."""
 
     area: str
@@ -59,7 +59,7 @@
 
 
 @attrs.define
-class Leave:
+class ShutdownRequested:
     """The process is about to stop."""
 
 
@@ -69,18 +69,18 @@
 
 
 @attrs.define
-class Save:
+class StoreArea:
     area: str
     content: bytes
 
 
 @attrs.define
-class Erase:
+class EraseArea:
     area: str
 
 
 @attrs.define
-class Send:
+class SendMessage:
     """`message` to the replica at that ip."""
 
     ip: str
@@ -105,7 +105,7 @@
 
 
 @attrs.define
-class Reply:
+class CompleteCall:
     """To the caller of that ticket. `taken`: what is held under the number that it wanted, with status 409."""
 
     ticket: int
@@ -115,5 +115,5 @@
 
 
 @attrs.define
-class Publish:
+class PublishState:
     """A newer state is decided here and its configuration is at hand."""
--- a/fernyard/cluster/control_plane/legacy.py
+++ b/fernyard/cluster/control_plane/legacy.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from .state import NO_CONFIGURATION, Ballot, ConfigurationId, Member, Vote, ZoneOrder, founding_state
+from .state import NO_CONFIGURATION, ConfigurationId, Member, ProposalNumber, Vote, ZoneOrder, founding_state
 
 LEGACY_CONFIGURATION, LEGACY_STATE = "config", "state"  # the areas of the disk
 LEGACY_AREAS = (LEGACY_CONFIGURATION, LEGACY_STATE, "board")  # erased once the vote is on disk
@@ -55,7 +55,7 @@
     member = next(voter for voter in founded.voters if voter.ip == ip)
     # Disks that differ must not look as if they had accepted the same.
     content = int.from_bytes(sha256(msgspec.msgpack.encode(state)).digest()[:6], "big")
-    return Vote(member, None, Ballot(0, content), state), body
+    return Vote(member, None, ProposalNumber(0, content), state), body
 
 
 def merge_unballoted(states):
@@ -77,4 +77,4 @@
     """The vote that each seed begins with at the first start of the whole system."""
     state = founding_state(ips)
     member: Member = next(voter for voter in state.voters if voter.ip == ip)
-    return Vote(member, None, Ballot(0, 0), state)
+    return Vote(member, None, ProposalNumber(0, 0), state)
--- a/fernyard/cluster/control_plane/messages.py
+++ b/fernyard/cluster/control_plane/messages.py
@@ -6,22 +6,22 @@
 import msgspec
 
 from ..common.messages import Datagram, Message
-from .state import NO_CONFIGURATION, AnyChange, Ballot, ConfigurationId, ControlState, Member
+from .state import NO_CONFIGURATION, AnyChange, ConfigurationId, ControlState, Member, ProposalNumber
 
 
 class ReplicaHeartbeat(Message):
     """Tells another how this one stands. `ask` is a number that it answers; `answers` is the last ask that it heard from the
-    one this goes to, in that one's life `answers_life`. `accepted` and `decided` are ballots, None: none. `ready`: it holds
+    one this goes to, in that one's incarnation `acknowledged_incarnation`. `accepted` and `decided` are ballots, None: none. `ready`: it holds
     `revision` and its configuration on its disk. `urgent`: the answer is to come at once."""
 
     node: str
     member: Member
-    life: int
+    incarnation: int
     ask: int
-    answers_life: int
+    acknowledged_incarnation: int
     answers: int
-    accepted: Ballot | None
-    decided: Ballot | None
+    accepted: ProposalNumber | None
+    decided: ProposalNumber | None
     revision: int
     ready: bool
     votes: bool
@@ -32,58 +32,58 @@
 
 
 class Prepare(Message):
-    ballot: Ballot
+    ballot: ProposalNumber
 
 
 class Promise(Message):
     """`accepted`, `state`: what the voter held when it promised."""
 
     member: Member
-    ballot: Ballot
-    accepted: Ballot | None
+    ballot: ProposalNumber
+    accepted: ProposalNumber | None
     state: ControlState | None
 
 
 class Accept(Message):
-    ballot: Ballot
+    ballot: ProposalNumber
     state: ControlState
 
 
 class Accepted(Message):
     member: Member
-    ballot: Ballot
+    ballot: ProposalNumber
 
 
 class Refusal(Message):
     """The voter has promised `promised`, which is higher."""
 
-    ballot: Ballot
-    promised: Ballot
+    ballot: ProposalNumber
+    promised: ProposalNumber
 
 
 class Decision(Message):
     """`state` was decided under `ballot`."""
 
-    ballot: Ballot
+    ballot: ProposalNumber
     state: ControlState
 
 
-class CarryChange(Message):
+class ForwardedChange(Message, tag="CarryChange"):
     """Asks the one that carries the changes of all to have this one decided. `answers` is the last ask that was heard from
-    it, in its life `answers_life`, so that it knows how old this is."""
+    it, in its incarnation `acknowledged_incarnation`, so that it knows how old this is."""
 
     key: int
-    life: int
+    incarnation: int
     change: AnyChange
-    answers_life: int
+    acknowledged_incarnation: int
     answers: int
 
 
-class CarryResult(Message):
+class ForwardedChangeResult(Message, tag="CarryResult"):
     """The change was decided (`taken` is None), or other bytes are held under its number."""
 
     key: int
-    life: int
+    incarnation: int
     taken: ConfigurationId | None = None
 
 
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
+class MessageReceived:
     """A message of this module came from that ip."""
 
     ip: str
@@ -103,7 +103,15 @@
 
 
 ConsensusMessage = (
-    ReplicaHeartbeat | Prepare | Promise | Accept | Accepted | Refusal | Decision | CarryChange | CarryResult
+    ReplicaHeartbeat
+    | Prepare
+    | Promise
+    | Accept
+    | Accepted
+    | Refusal
+    | Decision
+    | ForwardedChange
+    | ForwardedChangeResult
 )
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Datagram | ConsensusMessage).decode
--- a/fernyard/cluster/control_plane/contacts.py
+++ b/fernyard/cluster/control_plane/peer_table.py
@@ -25,9 +25,9 @@
         return self.heartbeat.member
 
 
-class Contacts:
-    def __init__(self, life):
-        self.life, self.peers, self.asks, self.ask = life, {}, {}, 0
+class PeerTable:
+    def __init__(self, incarnation):
+        self.incarnation, self.peers, self.asks, self.ask = incarnation, {}, {}, 0
 
     def next_ask(self, now):
         """A number that an answer to a message sent now will bear."""
@@ -37,18 +37,18 @@
             del self.asks[number]
         return self.ask
 
-    def is_answer_within(self, now, seconds, life, ask):
+    def is_answer_within(self, now, seconds, incarnation, ask):
         """Was that ask of ours sent so few seconds ago? What answers it can't be older."""
-        return life == self.life and now - self.asks.get(ask, now - ASKS_KEPT) <= seconds
+        return incarnation == self.incarnation and now - self.asks.get(ask, now - ASKS_KEPT) <= seconds
 
     def heard(self, now, heartbeat):
-        """False for one that was overtaken on its way by a later one of the same life: asks and accepted ballots only grow."""
+        """False for one that was overtaken on its way by a later one of the same incarnation: asks and accepted ballots only grow."""
         ip, known = heartbeat.member.ip, self.peers.get(heartbeat.member.ip)
-        same_life = known is not None and known.heartbeat.life == heartbeat.life
-        if same_life and _order(heartbeat) < _order(known.heartbeat):
+        same_incarnation = known is not None and known.heartbeat.incarnation == heartbeat.incarnation
+        if same_incarnation and _order(heartbeat) < _order(known.heartbeat):
             return False
-        asked_at = self.asks.get(heartbeat.answers) if heartbeat.answers_life == self.life else None
-        if asked_at is None and same_life:
+        asked_at = self.asks.get(heartbeat.answers) if heartbeat.acknowledged_incarnation == self.incarnation else None
+        if asked_at is None and same_incarnation:
             asked_at = known.asked_at
         self.peers[ip] = Peer(heartbeat, now, asked_at)
         return True
--- a/fernyard/cluster/control_plane/process.py
+++ b/fernyard/cluster/control_plane/process.py
@@ -10,22 +10,29 @@
 
 from ..common import lease
 from ..common.errors import ClusterError, StoreError
-from ..common.logs import Part
-from ..common.messages import NONE, GatewayHeartbeat, HeartbeatReply, LeaseAsk, LeaseGrant, decode_registry_update
+from ..common.logs import ComponentLogger
+from ..common.messages import (
+    NO_VERSION,
+    GatewayHeartbeat,
+    HeartbeatReply,
+    LeaseReply,
+    LeaseRequest,
+    decode_registry_update,
+)
 from ..common.registry import Registry
 from ..common.settings import read as read_settings
 from ..common.transport import Datagrams, serve
-from . import events as e
+from . import events
 from .api import Api
 from .discovery import REGISTRY_SAVE_PERIOD, Discovery
-from .messages import Received, ReplicaHeartbeat, StoredBody, decode, decode_body, encode
+from .messages import MessageReceived, ReplicaHeartbeat, StoredBody, decode, decode_body, encode
 from .recovery import recover
 from .replica import ASK_AGAIN, Replica, ReplicaSettings
 from .state import NO_CONFIGURATION
 from .store import Store
 from .worker_list import WorkerListDuty
 
-log = Part("control-plane")
+log = ComponentLogger("control-plane")
 ANSWER_WITHIN = 0.85  # a caller goes on to another gatekeeper after a second
 HEARTBEAT, CALL = 0.2, 1.0  # seconds: between heartbeats, for a call of ours
 # For the bytes of a configuration, which may be many on a long way; a machine that is dark is given up soon.
@@ -44,13 +51,13 @@
         self.replica = self._recover(areas)
         self.discovery = Discovery(self.now(), settings.zones, settings.cloud_rate)
         self.registry, self.plan = Registry(), None
-        self.granter = lease.Granter(self.now(), settings.bootstrap and not areas)
-        self.holder = lease.Holder(str(self.replica.member))
+        self.granter = lease.LeaseVoter(self.now(), settings.bootstrap and not areas)
+        self.holder = lease.LeaseCandidate(str(self.replica.member))
         self.duty, self.api = WorkerListDuty(self), Api(self)
         self.disk = ThreadPoolExecutor(1)
         self.datagrams = Datagrams(self.heard, decode)
         self.fetching, self.fetching_bodies, self.stopped = None, set(), self.loop.create_future()
-        self.registry_saved, self.registry_saved_at = NONE, self.now()
+        self.registry_saved, self.registry_saved_at = NO_VERSION, self.now()
         if "registry" in areas:
             # Soft state, kept for a quick start alone: until the list is asked again, workers as they were last seen.
             self.registry.follow(decode_registry_update(areas["registry"]), 0.0)
@@ -66,8 +73,8 @@
         recovered = recover(areas, replica_settings, settings.bootstrap and not areas, disk)
         if recovered.unreadable:
             log.warning("Configurations do not fit their digests and are passed over.", areas=recovered.unreadable)
-        life = int.from_bytes(os.urandom(6), "big")
-        return Replica(self.now(), replica_settings, life, recovered.vote, recovered.bodies)
+        incarnation = int.from_bytes(os.urandom(6), "big")
+        return Replica(self.now(), replica_settings, incarnation, recovered.vote, recovered.bodies)
 
     async def run(self):
         """Serves until told to stop."""
@@ -100,7 +107,7 @@
         """Goes on until another votes in our place, where one waits to; not past the time of the kill."""
         patience = min(HAND_OVER, self.set.bound("graceS", 5.0) - HAND_OVER_MARGIN)
         until = self.now() + patience
-        self.tell(e.Leave())
+        self.tell(events.ShutdownRequested())
         while self.now() < until and not self.replica.may_stop():
             await asyncio.sleep(HEARTBEAT)
         log.info("Control plane leaves.", votes=self.replica.is_voter)
@@ -125,7 +132,7 @@
             ORDERS[type(order)](self, order)
 
     def tell_lease(self, held):
-        self.tell(e.LeaseChanged(held, self.duty.highest_seen()))
+        self.tell(events.LeaseChanged(held, self.duty.highest_seen()))
 
     def do_save(self, order):
         self.spawn(self.save(order.area, order.content))
@@ -138,7 +145,7 @@
             log.warning("The disk did not keep a state.", area=area, **why.fields())
             kept = False
         if area != "registry":
-            self.tell(e.Stored(area, kept))
+            self.tell(events.AreaStored(area, kept))
 
     def do_erase(self, order):
         if self.store is not None:
@@ -173,7 +180,7 @@
             async with self.session.get(self.url(order.ip, "body"), params=query, timeout=BODY_CALL) as answer:
                 if answer.status == 200:
                     stored = decode_body(await answer.read())
-                    self.tell(e.BodyReceived(stored.id, stored.body))
+                    self.tell(events.BodyReceived(stored.id, stored.body))
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError):
             pass  # asked again, of another
         finally:
@@ -216,24 +223,24 @@
         if kind is GatewayHeartbeat:
             self.discovery.heard(self.now(), message)
             self.datagrams.send(self.heartbeat_reply(), address)
-        elif kind is LeaseAsk:
+        elif kind is LeaseRequest:
             self.duty.lease_asked(message, address)
-        elif kind is LeaseGrant:
+        elif kind is LeaseReply:
             self.duty.lease_granted(message)
         else:
-            self.tell(Received(address[0], message))
+            self.tell(MessageReceived(address[0], message))
             if kind is ReplicaHeartbeat and message.registry > self.registry.mark and self.duty.term() is None:
                 self.follow(address[0])
 
     async def beats(self):
         while True:
             try:
-                self.replica.registry_mark = self.registry.mark
-                self.tell(e.Tick())
+                self.replica.registry_version = self.registry.mark
+                self.tell(events.Tick())
                 self.duty.beat()
                 self.save_registry()
             except Exception:
-                log.fault("A heartbeat broke.")
+                log.exception("A heartbeat broke.")
             await asyncio.sleep(HEARTBEAT)
 
     def save_registry(self):
@@ -268,7 +275,7 @@
         self.ticket += 1
         ticket, waiting = self.ticket, self.loop.create_future()
         self.waiting[ticket] = waiting
-        timer = self.loop.call_later(ANSWER_WITHIN, lambda: self.tell(e.Expired(ticket)))
+        timer = self.loop.call_later(ANSWER_WITHIN, lambda: self.tell(events.CallExpired(ticket)))
         nudging = self.loop.create_task(self.nudge(waiting))
         self.tell(make(ticket))
         try:
@@ -281,7 +288,7 @@
         """A lost datagram must not cost a caller its answer."""
         while not waiting.done():
             await asyncio.sleep(ASK_AGAIN)
-            self.tell(e.Tick())
+            self.tell(events.Tick())
 
     def status(self):
         """What `/-/status` tells, as a map for JSON."""
@@ -313,11 +320,11 @@
 
 
 ORDERS = {
-    e.Save: ControlPlane.do_save,
-    e.Erase: ControlPlane.do_erase,
-    e.Send: ControlPlane.do_send,
-    e.PushBody: ControlPlane.do_push,
-    e.FetchBody: ControlPlane.do_fetch,
-    e.Reply: ControlPlane.do_reply,
-    e.Publish: ControlPlane.do_publish,
+    events.StoreArea: ControlPlane.do_save,
+    events.EraseArea: ControlPlane.do_erase,
+    events.SendMessage: ControlPlane.do_send,
+    events.PushBody: ControlPlane.do_push,
+    events.FetchBody: ControlPlane.do_fetch,
+    events.CompleteCall: ControlPlane.do_reply,
+    events.PublishState: ControlPlane.do_publish,
 }
--- a/fernyard/cluster/control_plane/proposer.py
+++ b/fernyard/cluster/control_plane/proposer.py
@@ -5,10 +5,10 @@
 
 import attrs
 
-from ...accord.ballots import newest
+from ...accord.acceptor import newest
 from .legacy import merge_unballoted
 from .messages import Accept, Prepare
-from .state import Ballot, Rejected
+from .state import ChangeRejectedError, ProposalNumber
 
 ASK_AGAIN = 0.2  # seconds until voters that did not answer are asked again
 ROUND = 1.2  # seconds after which a round is given up
@@ -31,14 +31,14 @@
     """What became of a change: decided, or rejected by the state that it met (`rejection`)."""
 
     key: object
-    rejection: Rejected | None = None
+    rejection: ChangeRejectedError | None = None
 
 
 @attrs.define
 class Decided:
     """`state` was decided under `ballot` in a round that began at `at`."""
 
-    ballot: Ballot
+    ballot: ProposalNumber
     state: object
     at: float
     outcomes: list[Outcome]
@@ -49,7 +49,7 @@
     """One try. `base`: the newest (ballot, state) that was known before; `known`: that or what a voter told, whose
     electorate is asked; `state`: what was proposed, None until a majority promised."""
 
-    ballot: Ballot
+    ballot: ProposalNumber
     at: float
     base: tuple
     known: tuple
@@ -61,9 +61,9 @@
 
 
 class Proposer:
-    def __init__(self, life, random):
-        """`life`: a number that no other run of any process has."""
-        self.life, self.random = life, random
+    def __init__(self, incarnation, random):
+        """`incarnation`: a number that no other run of any process has."""
+        self.incarnation, self.random = incarnation, random
         self.highest, self.round, self.pending = 0, None, []
         self.pause, self.retry_at = PAUSE, 0.0
         self.decided_epoch = 0  # the last change of members that is known to be decided
@@ -100,7 +100,7 @@
         if not self.pending or now < self.retry_at or known is None:
             return []
         self.highest += 1
-        self.round = Round(Ballot(self.highest, self.life), now, known, known, now + ASK_AGAIN)
+        self.round = Round(ProposalNumber(self.highest, self.incarnation), now, known, known, now + ASK_AGAIN)
         return [(known[1].electorate, Prepare(self.round.ballot))]
 
     def _resend(self, now):
@@ -141,7 +141,7 @@
             try:
                 state = pending.change.apply(state)
                 current.outcomes.append(Outcome(pending.key))
-            except Rejected as rejection:
+            except ChangeRejectedError as rejection:
                 current.outcomes.append(Outcome(pending.key, rejection))
         current.state = state
         current.resend_at = current.at + 2 * ASK_AGAIN
--- a/fernyard/cluster/control_plane/replica.py
+++ b/fernyard/cluster/control_plane/replica.py
@@ -1,7 +1,7 @@
 """One replica of the control state. `Replica.step(now, event)` returns the orders to carry out. Free of I/O.
 
 It votes (`accord.ballots.Acceptor`), proposes the changes of its callers or has the holder of the lease carry them
-(`Proposer`), learns what is decided, and knows how long ago it met a majority (`Contacts`). docs/control-state.md says what
+(`Proposer`), learns what is decided, and knows how long ago it met a majority (`PeerTable`). docs/control-state.md says what
 holds and why.
 """
 
@@ -11,24 +11,24 @@
 import attrs
 import msgspec
 
-from ...accord.ballots import Acceptor, Granted, Refused, Request, StoreVote
+from ...accord.acceptor import Acceptor, Granted, Refused, Request, StoreVote
 from ..common.lease import LENGTH, MARGIN
-from . import events as e, membership
-from .bodies import Bodies
-from .contacts import Contacts
+from . import events, membership
+from .bodies import BodyCache
 from .legacy import LEGACY_AREAS
 from .messages import (
     Accept,
     Accepted,
-    CarryChange,
-    CarryResult,
     Decision,
+    ForwardedChange,
+    ForwardedChangeResult,
+    MessageReceived,
     Prepare,
     Promise,
-    Received,
     Refusal,
     ReplicaHeartbeat,
 )
+from .peer_table import PeerTable
 from .proposer import PATIENCE, Decided, Proposer
 from .state import (
     NO_CONFIGURATION,
@@ -38,9 +38,9 @@
     ControlState,
     FinishReplacement,
     Member,
-    NumberTaken,
     SetConfiguration,
     SetEvacuation,
+    VersionConflictError,
 )
 
 VOTE = "vote"  # the area of the disk that holds our Vote
@@ -80,7 +80,7 @@
 
 
 @attrs.define
-class Standing:
+class DecidedState:
     """A decided state: `as_of` is when it was seen to be the newest."""
 
     ballot: object
@@ -89,21 +89,21 @@
 
 
 class Replica:
-    def __init__(self, now, settings, life, vote, bodies):
-        """`life`: a number that no other run of any process has; `vote`: the Vote to begin with, from the disk or made for a
+    def __init__(self, now, settings, incarnation, vote, bodies):
+        """`incarnation`: a number that no other run of any process has; `vote`: the Vote to begin with, from the disk or made for a
         first start (None: this machine keeps nothing); `bodies`: {ConfigurationId: bytes} of the disk."""
-        self.settings, self.life, self.now, self.began = settings, life, now, now
+        self.settings, self.incarnation, self.now, self.began = settings, incarnation, now, now
         self.stepped_at, self.woke_at = now, now - AWAKE
-        self.random = Random(life)
+        self.random = Random(incarnation)
         self.first_vote, self.first_vote_at = vote, now
         self.member = vote.member if vote is not None else Member(settings.ip, 0)
         self.acceptor, self.vote_number, self.parked = Acceptor(None, grants_again=True), None, None
-        self.proposer = Proposer(life, self.random)
-        self.contacts = Contacts(life)
-        self.bodies = Bodies(now, bodies, settings.votes)
+        self.proposer = Proposer(incarnation, self.random)
+        self.contacts = PeerTable(incarnation)
+        self.bodies = BodyCache(now, bodies, settings.votes)
         self.decided, self.published, self.unsettled_at = None, None, None
         self.calls, self.orders, self.local = {}, [], deque()
-        self.registry_mark = (0, 0)
+        self.registry_version = (0, 0)
         self.lease_told_at = now
         self.lease_held, self.above, self.claim, self.carrying_since, self.leaving = False, 0, 0, now, False
         if vote is not None:
@@ -218,14 +218,14 @@
         if self.decided is not None:
             for member in self.decided.state.electorate:
                 if member.ip != self.settings.ip:
-                    self.orders.append(e.PushBody(member.ip, event.id, event.body))
+                    self.orders.append(events.PushBody(member.ip, event.id, event.body))
         self._call(event.ticket, SetConfiguration(event.id))
 
     def _evacuate(self, event):
         """One that came while the process stood still may have been followed by a later one elsewhere: no clear answer.
         Configurations have numbers and need no such care."""
         if self.now - self.woke_at < AWAKE:
-            self.orders.append(e.Reply(event.ticket, 503))
+            self.orders.append(events.CompleteCall(event.ticket, 503))
             return
         self._call(event.ticket, SetEvacuation(event.zone, event.on))
 
@@ -236,7 +236,7 @@
             self._propose_call(ticket, call)
         else:
             heartbeat = self.contacts.peers[carrier].heartbeat
-            self._send(carrier, CarryChange(ticket, self.life, change, heartbeat.life, heartbeat.ask))
+            self._send(carrier, ForwardedChange(ticket, self.incarnation, change, heartbeat.incarnation, heartbeat.ask))
 
     def _propose_call(self, ticket, call):
         call.proposed = True
@@ -259,26 +259,28 @@
 
     def _expired(self, event):
         if self.calls.pop(event.ticket, None) is not None:
-            self.orders.append(e.Reply(event.ticket, 503))
+            self.orders.append(events.CompleteCall(event.ticket, 503))
 
     def _carry(self, ip, message):
-        if not self.contacts.is_answer_within(self.now, CARRIED_WITHIN, message.answers_life, message.answers):
+        if not self.contacts.is_answer_within(
+            self.now, CARRIED_WITHIN, message.acknowledged_incarnation, message.answers
+        ):
             return
-        key = ("carried", ip, message.life, message.key)
+        key = ("carried", ip, message.incarnation, message.key)
         self._submit(key, message.change)
 
     def _carried(self, ip, message):
-        if message.life == self.life:
-            self._answer(message.key, NumberTaken(message.taken) if message.taken is not None else None)
+        if message.incarnation == self.incarnation:
+            self._answer(message.key, VersionConflictError(message.taken) if message.taken is not None else None)
 
     def _answer(self, ticket, rejection):
         """The order of that call is decided, or something else is held under its number."""
         if self.calls.pop(ticket, None) is None:
             return
         if rejection is None:
-            self.orders.append(e.Reply(ticket, 200))
+            self.orders.append(events.CompleteCall(ticket, 200))
         else:
-            self.orders.append(e.Reply(ticket, 409, taken=rejection.held))
+            self.orders.append(events.CompleteCall(ticket, 409, taken=rejection.held))
 
     # Voting ----------------------------------------------------------------------------------------------------------
 
@@ -305,7 +307,7 @@
         for outcome in outcomes:
             if isinstance(outcome, StoreVote):
                 self.vote_number = outcome.number
-                self.orders.append(e.Save(VOTE, msgspec.msgpack.encode(outcome.vote)))
+                self.orders.append(events.StoreArea(VOTE, msgspec.msgpack.encode(outcome.vote)))
             elif isinstance(outcome, Granted):
                 self._send(outcome.request.sender, self._granted(outcome))
             elif isinstance(outcome, Refused):
@@ -322,7 +324,7 @@
             first = self.vote is None
             self._carry_out(self.acceptor.stored(self.vote_number, event.kept))
             if first and event.kept:
-                self.orders.extend(e.Erase(area) for area in LEGACY_AREAS)
+                self.orders.extend(events.EraseArea(area) for area in LEGACY_AREAS)
             elif first:
                 self.first_vote_at = self.now + VOTE_AGAIN
         else:
@@ -354,12 +356,12 @@
 
     def _tell_outcome(self, outcome):
         kind, *rest = outcome.key
-        taken = outcome.rejection if isinstance(outcome.rejection, NumberTaken) else None
+        taken = outcome.rejection if isinstance(outcome.rejection, VersionConflictError) else None
         if kind == "own":
             self._answer(rest[0], taken)
         elif kind == "carried":
-            ip, life, key = rest
-            self._send(ip, CarryResult(key, life, taken.held if taken is not None else None))
+            ip, incarnation, key = rest
+            self._send(ip, ForwardedChangeResult(key, incarnation, taken.held if taken is not None else None))
 
     def _refused(self, ip, message):
         self.proposer.refused(self.now, message)
@@ -372,7 +374,7 @@
         """`as_of`: the moment from which a majority was asked, None where it is only told."""
         known = self.decided
         if known is None or ballot > known.ballot:
-            self.decided = Standing(ballot, state, as_of if as_of is not None else self.began - SERVED_WITHIN)
+            self.decided = DecidedState(ballot, state, as_of if as_of is not None else self.began - SERVED_WITHIN)
             self.proposer.heard_of(ballot)
             self.proposer.decided_epoch = state.epoch
         elif ballot == known.ballot and as_of is not None:
@@ -485,9 +487,9 @@
         return ReplicaHeartbeat(
             node=self.settings.node,
             member=self.member,
-            life=self.life,
+            incarnation=self.incarnation,
             ask=self.contacts.ask,
-            answers_life=peer.heartbeat.life if peer is not None else 0,
+            acknowledged_incarnation=peer.heartbeat.incarnation if peer is not None else 0,
             answers=peer.heartbeat.ask if peer is not None else 0,
             accepted=vote.accepted if vote is not None else None,
             decided=decided.ballot if decided is not None else None,
@@ -496,7 +498,7 @@
             votes=vote is not None,
             leaving=self.leaving,
             carries=self.leads,
-            registry=self.registry_mark,
+            registry=self.registry_version,
             urgent=urgent,
         )
 
@@ -524,7 +526,7 @@
         if ip == self.settings.ip:
             self.local.append(message)
         else:
-            self.orders.append(e.Send(ip, message))
+            self.orders.append(events.SendMessage(ip, message))
 
     def _send_to_members(self, sends):
         for members, message in sends:
@@ -539,7 +541,7 @@
 
     def _keep_bodies(self):
         for area, content in self.bodies.saves(self.now):
-            self.orders.append(e.Save(area, content))
+            self.orders.append(events.StoreArea(area, content))
         wanted = []
         if self.parked is not None:
             ip, message = self.parked
@@ -554,9 +556,9 @@
         for id, ips in wanted:
             ip = self.bodies.fetch(self.now, id, [other for other in ips if other != self.settings.ip])
             if ip is not None:
-                self.orders.append(e.FetchBody(ip, id))
+                self.orders.append(events.FetchBody(ip, id))
         for area in self.bodies.clear(self.now, self._named()):
-            self.orders.append(e.Erase(area))
+            self.orders.append(events.EraseArea(area))
 
     def _named(self):
         """Configurations that something here may still need."""
@@ -576,7 +578,7 @@
             return
         if self.bodies.content(decided.state.configuration) is not None:
             self.published = decided.ballot
-            self.orders.append(e.Publish())
+            self.orders.append(events.PublishState())
 
     def _answer_calls(self):
         for ticket, call in list(self.calls.items()):
@@ -603,7 +605,7 @@
         del self.calls[ticket]
         configuration = self.decided.state.configuration
         body = self.bodies.content(configuration)
-        self.orders.append(e.Reply(ticket, 200, body) if body else e.Reply(ticket, 404))
+        self.orders.append(events.CompleteCall(ticket, 200, body) if body else events.CompleteCall(ticket, 404))
 
 
 MESSAGES = {
@@ -614,18 +616,18 @@
     Accepted: Replica._accepted,
     Refusal: Replica._refused,
     Decision: Replica._decision,
-    CarryChange: Replica._carry,
-    CarryResult: Replica._carried,
+    ForwardedChange: Replica._carry,
+    ForwardedChangeResult: Replica._carried,
 }
 HANDLERS = {
-    e.PutConfiguration: Replica._put,
-    e.OrderEvacuation: Replica._evacuate,
-    e.ReadConfiguration: Replica._read,
-    e.Expired: Replica._expired,
-    e.Stored: Replica._stored,
-    e.BodyReceived: Replica._body,
-    e.LeaseChanged: Replica._lease,
-    e.Leave: Replica._leave,
-    e.Tick: Replica._tick,
-    Received: Replica._received,
+    events.ConfigurationSubmitted: Replica._put,
+    events.EvacuationSubmitted: Replica._evacuate,
+    events.ReadRequested: Replica._read,
+    events.CallExpired: Replica._expired,
+    events.AreaStored: Replica._stored,
+    events.BodyReceived: Replica._body,
+    events.LeaseChanged: Replica._lease,
+    events.ShutdownRequested: Replica._leave,
+    events.Tick: Replica._tick,
+    MessageReceived: Replica._received,
 }
--- a/fernyard/cluster/control_plane/state.py
+++ b/fernyard/cluster/control_plane/state.py
@@ -38,8 +38,8 @@
 NO_CONFIGURATION = ConfigurationId()
 
 
-class Ballot(Value):
-    """`proposer`: the life of the process that proposes, which no other run of any process has."""
+class ProposalNumber(Value):
+    """`proposer`: the incarnation of the process that proposes, which no other run of any process has."""
 
     round: int = 0
     proposer: int = 0
@@ -102,11 +102,11 @@
     return ControlState(voters=tuple(Member(ip, FOUNDING_DISK) for ip in sorted(set(ips))))
 
 
-class Rejected(Exception):
+class ChangeRejectedError(Exception):
     """A change does not fit the state that it met."""
 
 
-class NumberTaken(Rejected):
+class VersionConflictError(ChangeRejectedError):
     """Other bytes are held under that number. `held`: which."""
 
     def __init__(self, held):
@@ -114,13 +114,13 @@
         self.held = held
 
 
-class Outdated(Rejected):
+class OutdatedChangeError(ChangeRejectedError):
     """Proposed under an epoch or a term that has passed."""
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """Base of changes. `apply` returns the state that follows, the same object where nothing is to change, or raises
-    `Rejected`. It may be applied again to a state that holds it already, and then changes nothing."""
+    `ChangeRejectedError`. It may be applied again to a state that holds it already, and then changes nothing."""
 
     def apply(self, state):
         raise NotImplementedError
@@ -139,7 +139,7 @@
             return _changed(state, configuration=self.id, recent=(held, *state.recent)[:REMEMBERED_NUMBERS])
         for known in (held, *state.recent):
             if known.version == self.id.version and known != self.id:
-                raise NumberTaken(known)
+                raise VersionConflictError(known)
         return state
 
 
@@ -180,9 +180,9 @@
 
     def apply(self, state):
         if (state.epoch, state.term) != (self.epoch, self.term) or state.previous:
-            raise Outdated("the members or the term have changed")
+            raise OutdatedChangeError("the members or the term have changed")
         if self.joining in state.voters or self.leaving is not None and self.leaving not in state.voters:
-            raise Outdated("the members are others")
+            raise OutdatedChangeError("the members are others")
         voters = {voter for voter in state.voters if voter != self.leaving} | {self.joining}
         return _changed(state, epoch=state.epoch + 1, voters=tuple(sorted(voters)), previous=state.voters)
 
@@ -217,8 +217,8 @@
     """What the disk of one replica holds: who it is, the highest ballot it promised, and what it accepted last."""
 
     member: Member
-    promised: Ballot | None = None
-    accepted: Ballot | None = None
+    promised: ProposalNumber | None = None
+    accepted: ProposalNumber | None = None
     state: ControlState | None = None
 
     def promising(self, ballot):
--- a/fernyard/cluster/control_plane/store.py
+++ b/fernyard/cluster/control_plane/store.py
@@ -11,9 +11,9 @@
 from hashlib import sha256
 
 from ..common.errors import StoreError
-from ..common.logs import Part
+from ..common.logs import ComponentLogger
 
-log = Part("store")
+log = ComponentLogger("store")
 NAME = re.compile(r"([a-z]+(?:-[0-9a-f-]+)?)-([0-9]{10})\.(dir|dat|bak)")
 
 
--- a/fernyard/cluster/control_plane/worker_list.py
+++ b/fernyard/cluster/control_plane/worker_list.py
@@ -1,16 +1,16 @@
 """The duty that one control plane does for all: it asks the platform for its list of workers and writes the registry.
 
 It does so under the lease, and under a term that a majority decided: what it writes bears the term, and whoever has heard a
-later one refuses it. Decides nothing by itself: `Holder`, `Replica` and `Discovery` do.
+later one refuses it. Decides nothing by itself: `LeaseCandidate`, `Replica` and `Discovery` do.
 """
 
 import aiohttp
 import msgspec
 
-from ..common.logs import Part
-from ..common.messages import LeaseAsk, LeaseGrant
+from ..common.logs import ComponentLogger
+from ..common.messages import LeaseReply, LeaseRequest
 
-log = Part("control-plane")
+log = ComponentLogger("control-plane")
 
 
 class WorkerListDuty:
@@ -65,7 +65,7 @@
             process.holder.granted(now, own, *ask, True, names)
         for voter in voters:
             if voter.ip != process.set.ip:
-                process.send(LeaseAsk(own, *ask), voter.ip)
+                process.send(LeaseRequest(own, *ask), voter.ip)
 
     def _voters(self):
         state = self.process.replica.state
@@ -80,7 +80,7 @@
         process = self.process
         granted = process.granter.ask(process.now(), message.node, message.epoch)
         seen = process.granter.epoch
-        grant = LeaseGrant(str(process.replica.member), message.ask, message.epoch, granted, seen)
+        grant = LeaseReply(str(process.replica.member), message.ask, message.epoch, granted, seen)
         process.datagrams.send(grant, address)
 
     def lease_granted(self, message):
--- a/fernyard/cluster/data_plane/listener.py
+++ b/fernyard/cluster/data_plane/listener.py
@@ -9,11 +9,11 @@
 
 from ...clients.read import Malformed, check_framing, passed_on
 from ...clients.serving import NO_REQUEST, RequestServer
-from ..common.logs import Part
+from ..common.logs import ComponentLogger
 from .events import Asked, Gone
 from .pacing import PIECE, SMALL
 
-log = Part("front")
+log = ComponentLogger("front")
 ID, LEFT = "Attempt-Id", "Deadline-Ms"
 ONCE = (ID, LEFT, "Key", "Host", "Content-Length", "Transfer-Encoding")  # headers that stand there once at most
 
@@ -43,7 +43,7 @@
         self._open(*address)
 
     def _fault(self):
-        log.fault("A request broke its handler.")
+        log.exception("A request broke its handler.")
 
     async def _serve(self, request):
         headers, connection = request.headers, request.protocol
--- a/fernyard/cluster/data_plane/process.py
+++ b/fernyard/cluster/data_plane/process.py
@@ -11,7 +11,7 @@
 from ...settings.limits import Limits
 from ..common import rendezvous
 from ..common.errors import ClusterError
-from ..common.logs import Part
+from ..common.logs import ComponentLogger
 from ..common.messages import (
     ConfigurationUpdate,
     Count,
@@ -33,7 +33,7 @@
 from .subscription import Subscriber
 from .upstreams import WorkerConnections
 
-log = Part("data-plane")
+log = ComponentLogger("data-plane")
 BEAT = 0.3  # seconds between beats
 WATCHERS = 5  # control planes that watch one gateway
 ON_THE_WAY, WIDE = 0.06, 1 << 18  # seconds of the link that one connection may fill; bytes from where it is not bounded
@@ -89,9 +89,9 @@
     def __init__(self, settings):
         self.set, self.loop = settings, asyncio.get_running_loop()
         self.now, self.counts, self.limits = self.loop.time, Counts(), limits(settings)
-        self.life = int.from_bytes(os.urandom(6), "big")
-        self.router = RequestRouter(self.now(), settings, self.life)
-        self.ledger = Ledger(settings.node, self.life)
+        self.incarnation = int.from_bytes(os.urandom(6), "big")
+        self.router = RequestRouter(self.now(), settings, self.incarnation)
+        self.ledger = Ledger(settings.node, self.incarnation)
         self.subscriber = Subscriber(settings.node, settings.zone)
         self.replicas = [ip for ip, _ in settings.seeds]
         link = settings.link_mbps * 125_000 if self.limits.buffer else 0.0
@@ -210,7 +210,7 @@
         held = self.subscriber.held
         heartbeat = GatewayHeartbeat(
             self.set.node,
-            self.life,
+            self.incarnation,
             self.set.ip,
             self.set.zone,
             self.set.region,
@@ -230,7 +230,7 @@
                 for pull in self.subscriber.due(self.now()):
                     self.spawn(self.pull(pull))
             except Exception:
-                log.fault("A beat broke.")
+                log.exception("A beat broke.")
             await asyncio.sleep(BEAT / 2 if not self.router.serves or self.subscriber.since is not None else BEAT)
 
     # ConfigurationUpdate ------------------------------------------------------------------------------------------------------------
--- a/fernyard/cluster/data_plane/quota.py
+++ b/fernyard/cluster/data_plane/quota.py
@@ -11,7 +11,7 @@
 
 from ...estimate import Mean, Tally
 from ..common.messages import Count, Total
-from ..common.replay import Lives, ReplayWindow
+from ..common.replay import Incarnations, ReplayWindow
 
 # A bucket in parts of burst/rate, its least length; units above the limit for the coarseness of small counts.
 BUCKET, LEAST_BUCKET, GRAIN = 1.05, 0.5, 2.0
@@ -41,12 +41,12 @@
     """The counter gatekeeper's side: two buckets a tenant. After a start it is empty; each gateway tells with its
     first add what it let past of late, and that stands as the previous bucket."""
 
-    def __init__(self, node, life):
-        self.mark, self.life = counter_mark(node), life
+    def __init__(self, node, incarnation):
+        self.mark, self.incarnation = counter_mark(node), incarnation
         self.tallies, self.senders = {}, {}
 
     def add(self, now, told, registry):
-        """Answers one `Count`; None where it is not for us, came before, or is of a gateway's former life."""
+        """Answers one `Count`; None where it is not for us, came before, or is of a gateway's former incarnation."""
         if told.counter != self.mark or not self._first_time(now, told):
             return None
         held = self._held(now, told)
@@ -61,16 +61,18 @@
             tally.put(tally.bucket, told.units)
         if len(self.tallies) > 1 and at > KEEP:
             self._tidy(now)
-        return Total(told.ask, told.life, self.mark, self.life, tally.was, total, tally.overlap(at), registry)
+        return Total(
+            told.ask, told.incarnation, self.mark, self.incarnation, tally.was, total, tally.overlap(at), registry
+        )
 
     def _first_time(self, now, told):
         sender = self.senders.get(told.node)
         if sender is None:
             sender = self.senders[told.node] = _Sender()
-        former = sender.lives.current
-        if not sender.lives.hear(now, told.life):
+        former = sender.incarnations.current
+        if not sender.incarnations.hear(now, told.incarnation):
             return False
-        if told.life != former:
+        if told.incarnation != former:
             sender.window = ReplayWindow()
         sender.used = now
         return sender.window.take(told.ask)
@@ -89,13 +91,13 @@
     def _settle(self, held, told):
         """Takes in what a gateway let past without an add of its own."""
         known = held.known.get(told.node)
-        if known is None or known.life != told.life:
+        if known is None or known.incarnation != told.incarnation:
             held.tally.was += told.recent  # what it owes is a part of that
         elif told.ask < known.ask:
             return  # overtaken: a later one has told more
         else:
             held.tally.put(held.tally.bucket, told.owed - known.owed)
-        held.known[told.node] = _Known(told.life, told.ask, told.owed)
+        held.known[told.node] = _Known(told.incarnation, told.ask, told.owed)
 
     def _tidy(self, now):
         self.tallies = {name: held for name, held in self.tallies.items() if now - held.used < KEEP}
@@ -104,9 +106,9 @@
 
 @attrs.define
 class _Sender:
-    """A gateway that asks: its lives, and which asks of this life came."""
+    """A gateway that asks: its incarnations, and which asks of this incarnation came."""
 
-    lives: Lives = attrs.Factory(Lives)
+    incarnations: Incarnations = attrs.Factory(Incarnations)
     window: ReplayWindow = attrs.Factory(ReplayWindow)
     used: float = 0.0
 
@@ -115,7 +117,7 @@
 class _Known:
     """What a gateway told last of one tenant."""
 
-    life: int
+    incarnation: int
     ask: int
     owed: float
 
@@ -140,10 +142,10 @@
 class Quota:
     """The proxy's side. `ask` sends an add; `answered` and `late` tell what came of it."""
 
-    def __init__(self, node, life):
-        self.node, self.life, self.number, self.out = node, life, 0, {}
+    def __init__(self, node, incarnation):
+        self.node, self.incarnation, self.number, self.out = node, incarnation, 0, {}
         self.own, self.share, self.owed = {}, {}, {}
-        self.times, self.failed, self.lives, self.newest = {}, {}, {}, {}
+        self.times, self.failed, self.incarnations, self.newest = {}, {}, {}, {}
 
     def _own(self, now, tenant):
         length, limit = shape(tenant.rate, tenant.burst)
@@ -162,7 +164,7 @@
         count = Count(
             self.number,
             self.node,
-            self.life,
+            self.incarnation,
             counter_mark(counter),
             tenant.name,
             tally.length,
@@ -178,7 +180,7 @@
         return count, 0.0 if blind else wait
 
     def answered(self, now, total):
-        """The pending ask that a total belongs to, or None: it is of another life, of another counter, or came before."""
+        """The pending ask that a total belongs to, or None: it is of another incarnation, of another counter, or came before."""
         pending = self.out.get(total.ask)
         if pending is None or not self._answers(pending, total):
             return None
@@ -193,16 +195,16 @@
         return pending
 
     def _answers(self, pending, total):
-        """Asks are numbered anew in each life."""
-        return total.life == self.life and total.counter == counter_mark(pending.counter)
+        """Asks are numbered anew in each incarnation."""
+        return total.incarnation == self.incarnation and total.counter == counter_mark(pending.counter)
 
     def _holds(self, now, counter, total):
-        """Is it of the counter's life that holds now? A later ask that was answered already tells which one that is."""
-        lives, newest = self.lives.setdefault(counter, Lives()), self.newest.get(counter, 0)
-        if total.counter_life != lives.current and total.ask < newest:
+        """Is it of the counter's incarnation that holds now? A later ask that was answered already tells which one that is."""
+        incarnations, newest = self.incarnations.setdefault(counter, Incarnations()), self.newest.get(counter, 0)
+        if total.counter_incarnation != incarnations.current and total.ask < newest:
             return False
         self.newest[counter] = max(newest, total.ask)
-        return lives.hear(now, total.counter_life)
+        return incarnations.hear(now, total.counter_incarnation)
 
     def late(self, ask, counter):
         """No answer in time."""
--- a/fernyard/cluster/data_plane/router.py
+++ b/fernyard/cluster/data_plane/router.py
@@ -34,11 +34,11 @@
 
 
 class RequestRouter:
-    def __init__(self, now, settings, life):
+    def __init__(self, now, settings, incarnation):
         self.set, self.now, self.orders, self.random = settings, now, [], Random(settings.node)
         self.routes, self.requests, self.timers, self.timer = None, {}, [], 0
         self.registry, self.revision, self.evacuated = Registry(), 0, []
-        self.quota = Quota(settings.node, life)
+        self.quota = Quota(settings.node, incarnation)
         self.workers = Workers(settings.node, settings.zone, settings.region, settings.zones, self.random)
         self.budgets, self.counters, self.sent, self.unserved = {}, {}, 0, 0
 
@@ -275,7 +275,7 @@
             self._resume(pending.done, told.total, COUNT)
 
     def _configuration_changed(self, told):
-        """Never back to an older revision within one life."""
+        """Never back to an older revision within one incarnation."""
         update = told.update
         if update.revision <= self.revision:
             return
--- a/fernyard/cluster/data_plane/subscription.py
+++ b/fernyard/cluster/data_plane/subscription.py
@@ -4,7 +4,7 @@
 import attrs
 
 from ..common import rendezvous
-from ..common.messages import NONE
+from ..common.messages import NO_VERSION
 
 HOME_WAIT, PULL_AGAIN = 0.25, 0.6  # seconds until a silent home is passed by, until a pull is tried elsewhere
 RELAYED_WITHIN = 1.5  # seconds since a control plane confirmed what we hold, within which it is handed on
@@ -26,7 +26,7 @@
     """What a gateway or a control plane holds: the revision of the control state, the mark of the registry."""
 
     revision: int = 0
-    registry: tuple = NONE
+    registry: tuple = NO_VERSION
 
 
 @attrs.define
--- a/fernyard/cluster/data_plane/upstreams.py
+++ b/fernyard/cluster/data_plane/upstreams.py
@@ -18,7 +18,7 @@
 
 
 class WorkerConnections(WorkerPool):
-    """`req` of `send` is a `front.Taken`; a worker is told to run as the life that is meant, and no other. `pace`: of large
+    """`req` of `send` is a `front.Taken`; a worker is told to run as the incarnation that is meant, and no other. `pace`: of large
     answers on their way in."""
 
     ID_HEADER = ID
--- a/fernyard/cluster/data_plane/workers.py
+++ b/fernyard/cluster/data_plane/workers.py
@@ -17,7 +17,7 @@
 
 
 class Worker:
-    """One life of a worker, as outcomes here have told of it."""
+    """One incarnation of a worker, as outcomes here have told of it."""
 
     def __init__(self, now, told, region, random):
         self.told, self.region, self.out, self.run, self.benched = told, region, 0, 0, 0.0
--- a/fernyard/cluster/slopes.py
+++ b/fernyard/cluster/slopes.py
@@ -10,7 +10,7 @@
 from ..interface import End
 from ..workers import Outcome
 from .common.messages import (
-    NONE,
+    NO_VERSION,
     ConfigurationUpdate,
     Count,
     GatewayAddress,
@@ -28,14 +28,14 @@
 from .common.registry import Registry
 from .control_plane import configuration
 from .control_plane.discovery import Discovery
-from .control_plane.messages import Accept, Decision, Received, ReplicaHeartbeat, encode as encode_message
+from .control_plane.messages import Accept, Decision, MessageReceived, ReplicaHeartbeat, encode as encode_message
 from .control_plane.replica import Replica, ReplicaSettings
 from .control_plane.state import (
     REMEMBERED_NUMBERS,
-    Ballot,
     ConfigurationId,
     ControlState,
     Member,
+    ProposalNumber,
     Vote,
     ZoneOrder,
 )
@@ -157,7 +157,7 @@
     told = registry(workers, gateways)
     leader = Registry()
     leader.write(1, *told)
-    snapshot = encode(leader.since(NONE, 0.0))
+    snapshot = encode(leader.since(NO_VERSION, 0.0))
     _, size = held(lambda: decode_registry_update(snapshot))
     mark, changed = leader.mark, dict(told[0])
     changed["i-00000000"] = Worker("i-00000000", "svc0000", "10.1.0.0:8080", "z0", 6, True)
@@ -171,7 +171,7 @@
         bound=lambda name, default: default,
     )
     router = RequestRouter(0.0, settings, 1)
-    router.step(0.0, t.RegistryChanged(RegistryUpdate(NONE, (1, 1), *told, 0.0)))
+    router.step(0.0, t.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), *told, 0.0)))
     return {
         "workers": workers,
         "gateways": gateways,
@@ -199,13 +199,13 @@
             ConfigurationUpdate(1, configuration.plan_of(*configuration.read(example_configuration(50, tenants))), [])
         ),
     )
-    router.step(0.0, t.RegistryChanged(RegistryUpdate(NONE, (1, 1), *registry(workers, gateways), 0.0)))
+    router.step(0.0, t.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), *registry(workers, gateways), 0.0)))
 
     def request():
         state.number, state.now = state.number + 1, state.now + 0.05
         orders = router.step(state.now, t.Asked(state.number, "GET", "h0.example", "/p7/x", "key00000001a", 2.0))
         count = orders[0].count
-        (send,) = router.step(state.now, t.Counted(Total(count.ask, 1, count.counter, 1, 0.0, 1.0, 0.5, NONE)))
+        (send,) = router.step(state.now, t.Counted(Total(count.ask, 1, count.counter, 1, 0.0, 1.0, 0.5, NO_VERSION)))
         router.step(state.now, Outcome(state.number, 0, send.worker, End.PASSED, 100, b"", (), 200))
         router.step(state.now, t.Tick())
 
@@ -217,12 +217,12 @@
     quotas = [Tenant(f"t{number}", None, 100.0, 100.0, []) for number in range(tenants)]
 
     def add():
-        count, _ = quota.ask(0.0, chance.choice(quotas), "c", NONE, None)
-        return ledger.add(0.0, count, NONE)
+        count, _ = quota.ask(0.0, chance.choice(quotas), "c", NO_VERSION, None)
+        return ledger.add(0.0, count, NO_VERSION)
 
     def fill():
         for tenant in quotas:
-            ledger.add(0.0, quota.ask(0.0, tenant, "c", NONE, None)[0], NONE)
+            ledger.add(0.0, quota.ask(0.0, tenant, "c", NO_VERSION, None)[0], NO_VERSION)
 
     _, size = held(fill)
     return {"tenants": tenants, "held_bytes": size, "add_us": timed(add, 500)}
@@ -251,15 +251,15 @@
     orders = tuple(ZoneOrder(f"zone-{number:02d}", 1, True) for number in range(zones))
     id = ConfigurationId(12, 1 << 62)
     state = ControlState(1000, id, (id,) * REMEMBERED_NUMBERS, orders, 3, members, (), 40, 1 << 47)
-    ballot = Ballot(9000, 1 << 47)
+    ballot = ProposalNumber(9000, 1 << 47)
     settings = ReplicaSettings("core-1", members[0].ip, True, (), voters // 2)
     replica = Replica(0.0, settings, 1, Vote(members[0], ballot, ballot, state), {id: b"{}"})
     beats = [_replica_heartbeat(member, ballot, number) for number, member in enumerate(members[1:])]
-    replica.step(0.0, Received(members[1].ip, Decision(ballot, state)))
+    replica.step(0.0, MessageReceived(members[1].ip, Decision(ballot, state)))
 
     def hear():
         for beat in beats:
-            replica.step(0.0, Received(beat.member.ip, beat))
+            replica.step(0.0, MessageReceived(beat.member.ip, beat))
 
     return {
         "voters": voters,
--- a/tests/cluster/control_model.py
+++ b/tests/cluster/control_model.py
@@ -12,16 +12,16 @@
 
 import attrs
 
-from fernyard.accord.ballots import Acceptor, Granted, Refused, Request, StoreVote
+from fernyard.accord.acceptor import Acceptor, Granted, Refused, Request, StoreVote
 from fernyard.cluster.control_plane.messages import Accept, Accepted, Promise, Refusal
 from fernyard.cluster.control_plane.proposer import Outcome, Pending, Proposer, Round
 from fernyard.cluster.control_plane.state import (
     NO_CONFIGURATION,
-    Ballot,
+    ChangeRejectedError,
     ConfigurationId,
     FinishReplacement,
     Member,
-    Rejected,
+    ProposalNumber,
     ReplaceMember,
     SetConfiguration,
     Vote,
@@ -30,7 +30,7 @@
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 FOUNDED = founding_state(IPS)
-START = Ballot(0, 0)
+START = ProposalNumber(0, 0)
 SPARE = Member("10.0.0.4", 4)
 CHANGES = {
     "x": (0, SetConfiguration(ConfigurationId(1, 11))),
@@ -44,7 +44,7 @@
 class Ask:
     """A proposer asks for a promise, or that `state` is accepted."""
 
-    ballot: Ballot
+    ballot: ProposalNumber
     state: object = None
 
 
@@ -52,12 +52,12 @@
 class Begun:
     """One proposer between two steps."""
 
-    life: int
+    incarnation: int
     highest: int = 0
     known: tuple = (START, FOUNDED)  # the newest that it knows to be decided
     decided_epoch: int = 1
     pending: tuple = ()
-    ballot: Ballot | None = None
+    ballot: ProposalNumber | None = None
     base: tuple = ()
     round_known: tuple = ()
     promises: tuple = ()
@@ -66,7 +66,7 @@
     outcomes: tuple = ()
 
     def proposer(self):
-        made = Proposer(self.life, Random(0))
+        made = Proposer(self.incarnation, Random(0))
         made.highest, made.decided_epoch = self.highest, self.decided_epoch
         made.pending = [Pending(key, change, 1.0) for key, change in self.pending]
         if self.ballot is not None:
@@ -79,7 +79,7 @@
                 dict(self.promises),
                 self.state,
                 set(self.accepted),
-                [Outcome(key, None if taken else Rejected()) for key, taken in self.outcomes],
+                [Outcome(key, None if taken else ChangeRejectedError()) for key, taken in self.outcomes],
             )
         return made
 
@@ -295,7 +295,7 @@
         made = Vote(member if self.reuses else Member(member.ip, 9))
         after = evolve(world, votes=(*world.votes[:machine], made, *world.votes[machine + 1 :]), wipes=0)
         if machine < len(world.proposers):
-            fresh = Begun(world.proposers[machine].life + 10, known=(START, FOUNDED))
+            fresh = Begun(world.proposers[machine].incarnation + 10, known=(START, FOUNDED))
             after = evolve(after, machine, fresh)
         return after
 
--- a/tests/cluster/control_planes.py
+++ b/tests/cluster/control_planes.py
@@ -7,9 +7,9 @@
 import attrs
 import msgspec
 
-from fernyard.cluster.common.lease import Granter, Holder
-from fernyard.cluster.control_plane import events as e
-from fernyard.cluster.control_plane.messages import Received, StoredBody, decode, encode
+from fernyard.cluster.common.lease import LeaseCandidate, LeaseVoter
+from fernyard.cluster.control_plane import events
+from fernyard.cluster.control_plane.messages import MessageReceived, StoredBody, decode, encode
 from fernyard.cluster.control_plane.proposer import ROUND
 from fernyard.cluster.control_plane.recovery import recover
 from fernyard.cluster.control_plane.replica import (
@@ -33,7 +33,7 @@
 
 
 @attrs.define
-class LeaseRequest:
+class SimulatedLeaseRequest:
     """The lease's ask and its answer, as messages of the simulation."""
 
     node: str
@@ -42,7 +42,7 @@
 
 
 @attrs.define
-class LeaseAnswer:
+class SimulatedLeaseReply:
     node: str
     ask: int
     epoch: int
@@ -72,9 +72,9 @@
     ip: str
     areas: dict = attrs.Factory(dict)
     replica: Replica | None = None
-    granter: Granter | None = None
-    holder: Holder | None = None
-    life: int = 0
+    granter: LeaseVoter | None = None
+    holder: LeaseCandidate | None = None
+    incarnation: int = 0
     frozen: list | None = None
     disk: str = "well"
     stalled: list = attrs.Factory(list)
@@ -107,17 +107,22 @@
 
     def start(self, name, bootstrap=False):
         machine = self.machines[name]
-        machine.life, machine.frozen, machine.stalled, machine.writing = self.life_of(machine), None, [], []
+        machine.incarnation, machine.frozen, machine.stalled, machine.writing = (
+            self.incarnation_of(machine),
+            None,
+            [],
+            [],
+        )
         settings = ReplicaSettings(name, machine.ip, True, self.seeds, self.faults)
         disk = self.random.getrandbits(48)
         recovered = recover(dict(machine.areas), settings, bootstrap and not machine.areas, disk)
-        machine.replica = self.kind(self.now, settings, machine.life, recovered.vote, recovered.bodies)
-        machine.granter = Granter(self.now, bootstrap)
-        machine.holder = Holder(str(machine.replica.member))
+        machine.replica = self.kind(self.now, settings, machine.incarnation, recovered.vote, recovered.bodies)
+        machine.granter = LeaseVoter(self.now, bootstrap)
+        machine.holder = LeaseCandidate(str(machine.replica.member))
         # Processes beat out of step.
-        self.at(self.now + TICK * self.random.random(), self.tick, machine, machine.life)
+        self.at(self.now + TICK * self.random.random(), self.tick, machine, machine.incarnation)
 
-    def life_of(self, machine):
+    def incarnation_of(self, machine):
         """A number that no other run of any process has."""
         return self.random.getrandbits(48)
 
@@ -144,7 +149,7 @@
     def leave(self, name):
         """The machine is told to stop, hands over and is gone."""
         machine = self.machines[name]
-        self.tell(machine, e.Leave())
+        self.tell(machine, events.ShutdownRequested())
         self.run_until(lambda: machine.replica.may_stop(), HAND_OVER)
         self.kill(name)
 
@@ -206,15 +211,15 @@
             self.run(0.02)
         return None
 
-    def tick(self, machine, life):
-        if machine.replica is None or machine.life != life:
+    def tick(self, machine, incarnation):
+        if machine.replica is None or machine.incarnation != incarnation:
             return
         if machine.frozen is not None:
-            machine.frozen.append((self.tick, (machine, life)))
+            machine.frozen.append((self.tick, (machine, incarnation)))
             return
-        self.tell(machine, e.Tick())
+        self.tell(machine, events.Tick())
         self.lease(machine)
-        self.at(self.now + TICK, self.tick, machine, life)
+        self.at(self.now + TICK, self.tick, machine, incarnation)
 
     def lease(self, machine):
         replica, holder = machine.replica, machine.holder
@@ -228,8 +233,8 @@
                 if machine.granter.ask(self.now, holder.node, ask[1]):
                     holder.granted(self.now, holder.node, *ask, True, names)
                 for voter in voters:
-                    self.send(machine, voter.ip, LeaseRequest(holder.node, *ask))
-        self.tell(machine, e.LeaseChanged(holder.holds(self.now), 0))
+                    self.send(machine, voter.ip, SimulatedLeaseRequest(holder.node, *ask))
+        self.tell(machine, events.LeaseChanged(holder.holds(self.now), 0))
 
     # Gateways --------------------------------------------------------------------------------------------------------
 
@@ -267,35 +272,35 @@
 
     def carry_out(self, machine, order):
         kind = type(order)
-        if kind is e.Save:
+        if kind is events.StoreArea:
             machine.writing.append(order)
-            self.at(self.now + DISK, self.save, machine, machine.life, order)
-        elif kind is e.Erase:
+            self.at(self.now + DISK, self.save, machine, machine.incarnation, order)
+        elif kind is events.EraseArea:
             if order.area in machine.areas:
                 machine.erased[order.area] = machine.areas.pop(order.area)
-        elif kind is e.Send:
+        elif kind is events.SendMessage:
             self.send(machine, order.ip, decode(encode(order.message)))
-        elif kind is e.PushBody:
+        elif kind is events.PushBody:
             self.send(machine, order.ip, StoredBody(order.id, order.body))
-        elif kind is e.FetchBody:
+        elif kind is events.FetchBody:
             self.fetch(machine, order)
-        elif kind is e.Reply:
+        elif kind is events.CompleteCall:
             self.reply(order)
-        elif kind is e.Publish:
+        elif kind is events.PublishState:
             machine.published.append((self.now, machine.replica.state))
 
-    def save(self, machine, life, order):
-        if machine.replica is None or machine.life != life:
+    def save(self, machine, incarnation, order):
+        if machine.replica is None or machine.incarnation != incarnation:
             return
         if machine.disk == "stalled":
-            machine.stalled.append((self.save, (machine, life, order)))
+            machine.stalled.append((self.save, (machine, incarnation, order)))
             return
         machine.writing = [other for other in machine.writing if other is not order]
         kept = machine.disk == "well"
         if kept:
             machine.areas[order.area] = order.content
             machine.erased.pop(order.area, None)
-        self.tell(machine, e.Stored(order.area, kept))
+        self.tell(machine, events.AreaStored(order.area, kept))
 
     def disk(self, name, how):
         """`how`: well, stalled or full."""
@@ -327,19 +332,19 @@
             other.frozen.append((self.arrive, (machine, other, message)))
             return
         if isinstance(message, StoredBody):
-            self.tell(other, e.BodyReceived(message.id, message.body))
-        elif isinstance(message, LeaseRequest):
+            self.tell(other, events.BodyReceived(message.id, message.body))
+        elif isinstance(message, SimulatedLeaseRequest):
             granted = other.granter.ask(self.now, message.node, message.epoch)
             seen = other.granter.epoch
-            answer = LeaseAnswer(str(other.replica.member), message.ask, message.epoch, granted, seen)
+            answer = SimulatedLeaseReply(str(other.replica.member), message.ask, message.epoch, granted, seen)
             self.send(other, machine.ip, answer)
-        elif isinstance(message, LeaseAnswer):
+        elif isinstance(message, SimulatedLeaseReply):
             if not message.granted and message.seen > message.epoch:
                 other.holder.refused_for(message.seen)
             names = [str(voter) for voter in other.replica.state.voters] if other.replica.state else []
             other.holder.granted(self.now, message.node, message.ask, message.epoch, message.granted, names)
         else:
-            self.tell(other, Received(machine.ip, message))
+            self.tell(other, MessageReceived(machine.ip, message))
 
     def fetch(self, machine, order):
         other = self.by_ip(order.ip)
@@ -349,7 +354,7 @@
             return
         content = other.replica.bodies.content(order.id)
         if content:
-            self.at(self.now + 2 * self.delay, self.tell, machine, e.BodyReceived(order.id, content))
+            self.at(self.now + 2 * self.delay, self.tell, machine, events.BodyReceived(order.id, content))
 
     # Operators -------------------------------------------------------------------------------------------------------
 
@@ -361,12 +366,12 @@
         ticket = self.number
         self.tickets[ticket] = answer
         self.tell(machine, make(ticket))
-        self.at(self.now + ANSWER_WITHIN, self.expire, machine, machine.life, ticket)
+        self.at(self.now + ANSWER_WITHIN, self.expire, machine, machine.incarnation, ticket)
         return answer
 
-    def expire(self, machine, life, ticket):
-        if self.tickets.get(ticket) is not None and machine.replica is not None and machine.life == life:
-            self.tell(machine, e.Expired(ticket))
+    def expire(self, machine, incarnation, ticket):
+        if self.tickets.get(ticket) is not None and machine.replica is not None and machine.incarnation == incarnation:
+            self.tell(machine, events.CallExpired(ticket))
 
     def reply(self, order):
         answer = self.tickets.pop(order.ticket, None)
@@ -376,13 +381,13 @@
     def put(self, name, version, text=""):
         body = f"v{version}{text}".encode()
         id = ConfigurationId.of(version, body)
-        return self.call(name, ("put", id, body), lambda ticket: e.PutConfiguration(ticket, id, body))
+        return self.call(name, ("put", id, body), lambda ticket: events.ConfigurationSubmitted(ticket, id, body))
 
     def evacuate(self, name, zone, on=True):
-        return self.call(name, ("evacuate", zone, on), lambda ticket: e.OrderEvacuation(ticket, zone, on))
+        return self.call(name, ("evacuate", zone, on), lambda ticket: events.EvacuationSubmitted(ticket, zone, on))
 
     def get(self, name):
-        return self.call(name, ("get",), e.ReadConfiguration)
+        return self.call(name, ("get",), events.ReadRequested)
 
     def finish(self, answer, seconds=1.0):
         """The status of a call once it is answered; None: none came in time."""
@@ -450,7 +455,7 @@
                 self.wrong.append(f"two configurations under {id.version}")
 
     def _never_back(self):
-        """Within one life of one process, and by number over all decided states."""
+        """Within one incarnation of one process, and by number over all decided states."""
         states = {state.revision: state for _, _, state in self._decided()}
         versions = [states[revision].configuration.version for revision in sorted(states)]
         if versions != sorted(versions):
--- a/tests/cluster/gateway.py
+++ b/tests/cluster/gateway.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from fernyard.cluster.common import settings
-from fernyard.cluster.common.messages import NONE, ConfigurationUpdate, RegistryUpdate, Worker
+from fernyard.cluster.common.messages import NO_VERSION, ConfigurationUpdate, RegistryUpdate, Worker
 from fernyard.cluster.data_plane import events as t
 from fernyard.cluster.data_plane.process import DataPlane
 from fernyard.lab.runner import free_port
@@ -86,7 +86,7 @@
         hosts = {"h.example": [route("read", "/r/"), route("write", "/w/", "mutating")]}
         self.configure(hosts=hosts, keys={"k": 0})
         known = {f"w{n}": Worker(f"w{n}", "s", f"{HOST}:{w.port}", "z", 50, False) for n, w in enumerate(self.workers)}
-        self.plane.post(t.RegistryChanged(RegistryUpdate(NONE, (1, 1), known, {}, self.plane.now())))
+        self.plane.post(t.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), known, {}, self.plane.now())))
 
     def head(self, id, path, method="POST", body=b"", left=2000, **headers):
         told = {"Host": "h.example", "Attempt-Id": id, "Deadline-Ms": left, "Key": "k", "Content-Length": len(body)}
--- a/tests/cluster/test_at_most_once.py
+++ b/tests/cluster/test_at_most_once.py
@@ -7,7 +7,14 @@
 import testtools
 from testtools.matchers import Equals
 
-from fernyard.cluster.common.messages import NONE, ConfigurationUpdate, GatewayAddress, RegistryUpdate, Total, Worker
+from fernyard.cluster.common.messages import (
+    NO_VERSION,
+    ConfigurationUpdate,
+    GatewayAddress,
+    RegistryUpdate,
+    Total,
+    Worker,
+)
 from fernyard.cluster.data_plane import events as t, router as router_module
 from fernyard.cluster.data_plane.router import PROMISES, RequestRouter
 from fernyard.interface import End
@@ -68,7 +75,7 @@
     "kind changed": told(lambda n: configured(9, w="idempotent")),
     "route dropped": told(lambda n: configured(9)),
     "workers' addresses reused": reused,
-    "a foreign total": told(lambda n: t.Counted(Total(1, 99, 0, 0, 0.0, 0.0, 1.0, NONE))),
+    "a foreign total": told(lambda n: t.Counted(Total(1, 99, 0, 0, 0.0, 0.0, 1.0, NO_VERSION))),
 }
 
 
--- a/tests/cluster/test_configuration.py
+++ b/tests/cluster/test_configuration.py
@@ -8,7 +8,7 @@
 from fernyard.cluster.common import settings
 from fernyard.cluster.common.errors import ConfigurationError, SettingsError
 from fernyard.cluster.control_plane import configuration
-from fernyard.cluster.control_plane.calls import find
+from fernyard.cluster.control_plane.call_table import find
 
 
 def config(**changes):
--- a/tests/cluster/test_control_guards.py
+++ b/tests/cluster/test_control_guards.py
@@ -7,16 +7,16 @@
 import testtools
 from testtools.matchers import Equals
 
-from fernyard.accord.ballots import StoreVote
+from fernyard.accord.acceptor import StoreVote
 from fernyard.cluster.control_plane import replica
-from fernyard.cluster.control_plane.bodies import Bodies
+from fernyard.cluster.control_plane.bodies import BodyCache
 from fernyard.cluster.control_plane.recovery import recover
 from fernyard.cluster.control_plane.replica import Replica
 from fernyard.cluster.control_plane.state import (
     FOUNDING_DISK,
+    ChangeRejectedError,
     ControlState,
     Member,
-    Rejected,
     ReplaceMember,
     SetConfiguration,
     Vote,
@@ -206,11 +206,11 @@
 def take_any_number(self, state):
     try:
         return SET_CONFIGURATION(self, state)
-    except Rejected:
+    except ChangeRejectedError:
         return state
 
 
-def same_life(self, machine):
+def same_incarnation(self, machine):
     return machine.name.encode()[0]
 
 
@@ -232,14 +232,17 @@
         wiped_meets_one_that_missed_it,
         patch(control_planes, "recover", same_identity),
     ),
-    "each life has ballots of its own": (ballot_of_a_former_life, patch(ControlPlanes, "life_of", same_life)),
+    "each incarnation has ballots of its own": (
+        ballot_of_a_former_life,
+        patch(ControlPlanes, "incarnation_of", same_incarnation),
+    ),
     "a read meets a majority": (cut_off_reads, patch(Replica, "confirmed_at", property(contact_is_now))),
     "served of late": (cut_off_serves, patch(Replica, "served", lambda self, now: self.state)),
     "epoch and term are compared": (
         late_change_of_members,
         patch(ReplaceMember, "apply", replace_whatever_the_epoch),
     ),
-    "a vote needs the bytes on the disk": (bodies_are_lost, patch(Bodies, "is_stored", lambda self, id: True)),
+    "a vote needs the bytes on the disk": (bodies_are_lost, patch(BodyCache, "is_stored", lambda self, id: True)),
     "one number, one configuration": (one_number_two_contents, patch(SetConfiguration, "apply", take_any_number)),
     "no order from before a process stood still": (
         order_from_before,
--- a/tests/cluster/test_control_state.py
+++ b/tests/cluster/test_control_state.py
@@ -8,22 +8,22 @@
 from testtools.matchers import Equals, GreaterThan, LessThan
 
 from fernyard.cluster.common.registry import Registry
-from fernyard.cluster.control_plane import events as e
+from fernyard.cluster.control_plane import events
 from fernyard.cluster.control_plane.bodies import UNUSED, area_of
-from fernyard.cluster.control_plane.contacts import Contacts
 from fernyard.cluster.control_plane.messages import (
     Accept,
+    MessageReceived,
     Prepare,
     Promise,
-    Received,
     ReplicaHeartbeat,
 )
+from fernyard.cluster.control_plane.peer_table import PeerTable
 from fernyard.cluster.control_plane.replica import SERVED_WITHIN, VOTE, Replica, ReplicaSettings
 from fernyard.cluster.control_plane.state import (
-    Ballot,
     ConfigurationId,
     Member,
-    Outdated,
+    OutdatedChangeError,
+    ProposalNumber,
     ReplaceMember,
     Vote,
     founding_state,
@@ -40,57 +40,72 @@
 ID = ConfigurationId.of(1, b"one")
 
 
-def heartbeat(ask, answers, accepted, member=FOUNDED.voters[1], life=2, answers_life=1):
+def heartbeat(ask, answers, accepted, member=FOUNDED.voters[1], incarnation=2, acknowledged_incarnation=1):
     return ReplicaHeartbeat(
-        "b", member, life, ask, answers_life, answers, accepted, accepted, 1, True, True, False, False, (0, 0)
+        "b",
+        member,
+        incarnation,
+        ask,
+        acknowledged_incarnation,
+        answers,
+        accepted,
+        accepted,
+        1,
+        True,
+        True,
+        False,
+        False,
+        (0, 0),
     )
 
 
 def saved(orders):
-    return [order for order in orders if type(order) is e.Save]
+    return [order for order in orders if type(order) is events.StoreArea]
 
 
 class TestOneReplica(testtools.TestCase):
     """Faults found by reading, each by the few events that bring it about."""
 
-    def replica(self, vote=None, bodies=None, life=1):
+    def replica(self, vote=None, bodies=None, incarnation=1):
         """One whose first vote is on its disk."""
-        vote = vote or Vote(FOUNDED.voters[0], None, Ballot(0, 0), FOUNDED)
-        replica = Replica(0.0, SETTINGS, life, vote, bodies or {})
-        for order in saved(replica.step(0.0, e.Tick())):
-            replica.step(0.0, e.Stored(order.area, True))
+        vote = vote or Vote(FOUNDED.voters[0], None, ProposalNumber(0, 0), FOUNDED)
+        replica = Replica(0.0, SETTINGS, incarnation, vote, bodies or {})
+        for order in saved(replica.step(0.0, events.Tick())):
+            replica.step(0.0, events.AreaStored(order.area, True))
         return replica
 
     def test_a_heartbeat_overtaken_by_another_with_the_same_ask_does_not_take_its_place(self):
-        contacts, own = Contacts(1), Vote(FOUNDED.voters[0], None, Ballot(0, 0), FOUNDED)
+        contacts, own = PeerTable(1), Vote(FOUNDED.voters[0], None, ProposalNumber(0, 0), FOUNDED)
         ask = contacts.next_ask(10.0)
-        contacts.heard(10.1, heartbeat(5, ask, Ballot(3, 2)))
-        contacts.heard(10.2, heartbeat(5, 9, Ballot(0, 0), answers_life=77))  # sent before, to our former life
-        self.assertThat(contacts.confirmed_at(10.2, own, Ballot(0, 0), FOUNDED), Equals(None))
+        contacts.heard(10.1, heartbeat(5, ask, ProposalNumber(3, 2)))
+        contacts.heard(
+            10.2, heartbeat(5, 9, ProposalNumber(0, 0), acknowledged_incarnation=77)
+        )  # sent before, to our former incarnation
+        self.assertThat(contacts.confirmed_at(10.2, own, ProposalNumber(0, 0), FOUNDED), Equals(None))
 
     def test_a_body_stays_while_a_vote_for_it_is_on_its_way_to_the_disk(self):
         replica = self.replica()
-        for order in saved(replica.step(1.0, e.BodyReceived(ID, b"one"))):
-            replica.step(1.0, e.Stored(order.area, True))
+        for order in saved(replica.step(1.0, events.BodyReceived(ID, b"one"))):
+            replica.step(1.0, events.AreaStored(order.area, True))
         state = msgspec.structs.replace(FOUNDED, configuration=ID, revision=1)
-        (vote,) = saved(replica.step(2.0, Received(IPS[1], Accept(Ballot(1, 2), state))))
-        orders = replica.step(2.0 + UNUSED, e.Tick()) + replica.step(2.0 + UNUSED, e.Stored(VOTE, True))
+        (vote,) = saved(replica.step(2.0, MessageReceived(IPS[1], Accept(ProposalNumber(1, 2), state))))
+        orders = replica.step(2.0 + UNUSED, events.Tick()) + replica.step(2.0 + UNUSED, events.AreaStored(VOTE, True))
         self.assertThat(replica.vote.state.configuration, Equals(ID))
-        self.assertNotIn(e.Erase(area_of(ID)), orders)
+        self.assertNotIn(events.EraseArea(area_of(ID)), orders)
 
     def test_a_vote_read_from_the_disk_counts_also_where_its_configuration_is_lost(self):
         state = msgspec.structs.replace(FOUNDED, configuration=ID, revision=1)
-        replica = self.replica(Vote(FOUNDED.voters[0], Ballot(4, 2), Ballot(4, 2), state))
+        replica = self.replica(Vote(FOUNDED.voters[0], ProposalNumber(4, 2), ProposalNumber(4, 2), state))
         self.assertIsNotNone(replica.vote)
 
     def test_a_round_that_stood_still_with_its_process_proposes_nothing(self):
         replica = self.replica()
-        orders = replica.step(1.0, e.OrderEvacuation(7, "z1", True))
-        prepare = next(o.message for o in orders if type(o) is e.Send and type(o.message) is Prepare)
-        promise = Promise(FOUNDED.voters[1], prepare.ballot, Ballot(0, 0), FOUNDED)
-        replica.step(1.0, e.Stored(VOTE, True))
-        orders = replica.step(1.0 + CUT_OFF, Received(IPS[1], promise))
-        self.assertThat([o for o in orders if type(o) is e.Send and type(o.message) is Accept], Equals([]))
+        orders = replica.step(1.0, events.EvacuationSubmitted(7, "z1", True))
+        prepare = next(o.message for o in orders if type(o) is events.SendMessage and type(o.message) is Prepare)
+        promise = Promise(FOUNDED.voters[1], prepare.ballot, ProposalNumber(0, 0), FOUNDED)
+        replica.step(1.0, events.AreaStored(VOTE, True))
+        orders = replica.step(1.0 + CUT_OFF, MessageReceived(IPS[1], promise))
+        self.assertThat([o for o in orders if type(o) is events.SendMessage and type(o.message) is Accept], Equals([]))
 
 
 class TestMembers(testtools.TestCase):
@@ -270,9 +285,11 @@
             (4, 7, new, Member("10.0.0.5", 6)),
             (4, 7, FOUNDED.voters[0], FOUNDED.voters[1]),
         ):
-            self.assertRaises(Outdated, ReplaceMember(epoch, term, leaving, joining).apply, state)
+            self.assertRaises(OutdatedChangeError, ReplaceMember(epoch, term, leaving, joining).apply, state)
         begun = ReplaceMember(4, 7, FOUNDED.voters[0], new).apply(state)
-        self.assertRaises(Outdated, ReplaceMember(5, 7, FOUNDED.voters[1], Member("10.0.0.5", 6)).apply, begun)
+        self.assertRaises(
+            OutdatedChangeError, ReplaceMember(5, 7, FOUNDED.voters[1], Member("10.0.0.5", 6)).apply, begun
+        )
 
 
 class TestMajorityFirst(testtools.TestCase):
--- a/tests/cluster/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -8,8 +8,8 @@
 import testtools
 from testtools.matchers import Equals
 
-from fernyard.cluster.common.messages import NONE, Tenant
-from fernyard.cluster.common.replay import Lives, ReplayWindow
+from fernyard.cluster.common.messages import NO_VERSION, Tenant
+from fernyard.cluster.common.replay import Incarnations, ReplayWindow
 from fernyard.cluster.data_plane import quota as quota_module
 from fernyard.cluster.data_plane.quota import Ledger, Quota, counter_mark
 
@@ -33,20 +33,20 @@
 
 class TestLives(testtools.TestCase):
     def test_a_former_life_is_told_apart_and_a_wrong_guess_heals(self):
-        late = Lives.LATEST + 0.1
+        late = Incarnations.LATEST + 0.1
         for heard, holds in (
             ([(0, "a"), (1, "a")], [True, True]),
             ([(0, "a"), (1, "b"), (1.1, "a"), (2, "b")], [True, True, False, True]),
             ([(0, "b"), (0.1, "a"), (0.2, "b"), (late + 0.1, "b")], [True, True, False, True]),
         ):
-            lives = Lives()
-            self.assertThat([lives.hear(*told) for told in heard], Equals(holds), heard)
+            incarnations = Incarnations()
+            self.assertThat([incarnations.hear(*told) for told in heard], Equals(holds), heard)
 
     def test_bounded(self):
-        lives = Lives()
+        incarnations = Incarnations()
         for number in range(100):
-            lives.hear(number, number)
-        self.assertThat(len(lives.lives), Equals(Lives.KEPT))
+            incarnations.hear(number, number)
+        self.assertThat(len(incarnations.incarnations), Equals(Incarnations.KEPT))
 
 
 class TestTotals(testtools.TestCase):
@@ -55,19 +55,19 @@
     CASES = (
         ({}, True),
         ({"ask": 2}, False),
-        ({"life": 8}, False),
+        ({"incarnation": 8}, False),
         ({"counter": counter_mark("other")}, False),
-        ({"counter_life": 4}, False),  # from before the counter's restart
-        ({"counter_life": 6}, True),  # it has just restarted
+        ({"counter_incarnation": 4}, False),  # from before the counter's restart
+        ({"counter_incarnation": 6}, True),  # it has just restarted
     )
 
     def test_an_answer_is_taken_by_its_ask_alone(self):
         for changed, taken in self.CASES:
             quota, ledger = Quota("n", 7), Ledger("c", 5)
-            for life in 4, 5:
-                quota.lives.setdefault("c", Lives()).hear(0.0, life)
-            count, _ = quota.ask(0.1, TENANT, "c", NONE, "waits")
-            total = msgspec.structs.replace(ledger.add(0.1, count, NONE), **changed)
+            for incarnation in 4, 5:
+                quota.incarnations.setdefault("c", Incarnations()).hear(0.0, incarnation)
+            count, _ = quota.ask(0.1, TENANT, "c", NO_VERSION, "waits")
+            total = msgspec.structs.replace(ledger.add(0.1, count, NO_VERSION), **changed)
             pending = quota.answered(0.2, total)
             self.assertThat(pending is not None and pending.done == "waits", Equals(taken), changed)
             self.assertThat(quota.answered(0.2, total), Equals(None), changed)  # doubled
@@ -82,13 +82,13 @@
             ({}, False),
             ({"ask": 2}, True),
             ({"ask": 2, "counter": 1}, False),
-            ({"ask": 2, "life": 3}, False),  # a former life of the gateway
+            ({"ask": 2, "incarnation": 3}, False),  # a former incarnation of the gateway
         ):
             ledger, before, quota = Ledger("c", 5), Quota("n", 3), Quota("n", 7)
-            ledger.add(0.0, before.ask(0.0, TENANT, "c", NONE, None)[0], NONE)
-            count, _ = quota.ask(0.1, TENANT, "c", NONE, None)
-            first = ledger.add(0.1, count, NONE)
-            again = ledger.add(0.1, msgspec.structs.replace(count, **changed), NONE)
+            ledger.add(0.0, before.ask(0.0, TENANT, "c", NO_VERSION, None)[0], NO_VERSION)
+            count, _ = quota.ask(0.1, TENANT, "c", NO_VERSION, None)
+            first = ledger.add(0.1, count, NO_VERSION)
+            again = ledger.add(0.1, msgspec.structs.replace(count, **changed), NO_VERSION)
             self.assertThat(again is not None, Equals(counted), changed)
             held = ledger.tallies["t"].tally.total
             self.assertThat(held, Equals(first.current + counted), changed)
@@ -98,12 +98,12 @@
         for order in ([1, 2, 3], [1, 3], [1, 3, 2], [3], [2, 1, 3], [1, 3, 3]):
             ledger, quota, counts = Ledger("c", 5), Quota("n", 7), {}
             for number in 1, 2, 3:
-                counts[number], _ = quota.ask(0.0, TENANT, "c", NONE, None)
+                counts[number], _ = quota.ask(0.0, TENANT, "c", NO_VERSION, None)
                 for _ in range(4):
                     quota.took(0.0, TENANT, False)
                 quota.back(0.0, TENANT)
             for number in order:
-                ledger.add(0.0, counts[number], NONE)
+                ledger.add(0.0, counts[number], NO_VERSION)
             tally = ledger.tallies["t"].tally
             # Of the first that came `recent` says what went before; two times three were let past before the third.
             self.assertThat(tally.was + tally.total - len(set(order)), Equals(6.0), order)
@@ -113,30 +113,30 @@
     """Proxies and one counter that restart, and datagrams that are lost, doubled, late, reordered and foreign."""
 
     def __init__(self, seed):
-        self.random, self.now, self.life, self.held = Random(seed), 0.0, 0, []
+        self.random, self.now, self.incarnation, self.held = Random(seed), 0.0, 0, []
         self.proxies, self.ledger, self.waits, self.answers = {}, None, {}, {}
-        self.added, self.known = {}, {}  # what was counted; lives of the counter that each proxy heard
+        self.added, self.known = {}, {}  # what was counted; incarnations of the counter that each proxy heard
         for name in "n1", "n2":
             self.start(name)
         self.restart()
 
     def start(self, name):
-        """A new life of a proxy; asks of the former are nobody's any more."""
-        self.life += 1
-        self.proxies[name] = Quota(name, self.life)
+        """A new incarnation of a proxy; asks of the former are nobody's any more."""
+        self.incarnation += 1
+        self.proxies[name] = Quota(name, self.incarnation)
         self.waits = {key: ask for key, ask in self.waits.items() if key[0] != name}
         self.known[name] = set()
 
     def restart(self):
-        self.life += 1
-        self.ledger, self.added = Ledger("c", self.life), {}
+        self.incarnation += 1
+        self.ledger, self.added = Ledger("c", self.incarnation), {}
 
     def ask(self):
         name = self.random.choice(list(self.proxies))
         proxy = self.proxies[name]
-        count, _ = proxy.ask(self.now, TENANT, "c", NONE, None)
-        self.waits[name, proxy.life, count.ask] = count
-        proxy.out[count.ask].done = (name, proxy.life, count.ask)
+        count, _ = proxy.ask(self.now, TENANT, "c", NO_VERSION, None)
+        self.waits[name, proxy.incarnation, count.ask] = count
+        proxy.out[count.ask].done = (name, proxy.incarnation, count.ask)
         self.held += [("count", count)] * self.random.choice((0, 1, 1, 2))
 
     def deliver(self):
@@ -147,8 +147,8 @@
             self.total(message)
 
     def count(self, count):
-        key = count.node, count.life, count.ask
-        total = self.ledger.add(self.now, count, NONE)
+        key = count.node, count.incarnation, count.ask
+        total = self.ledger.add(self.now, count, NO_VERSION)
         if total is None:
             return
         if key in self.added:
@@ -162,12 +162,12 @@
             pending = proxy.answered(self.now, total)
             if pending is None:
                 continue
-            if pending.done != (name, total.life, total.ask) or pending.done not in self.waits:
+            if pending.done != (name, total.incarnation, total.ask) or pending.done not in self.waits:
                 raise AssertionError(f"taken by the wrong ask: {pending.done}")
             known = self.known[name]
-            if total.counter_life in known and total.counter_life < max(known):
+            if total.counter_incarnation in known and total.counter_incarnation < max(known):
                 raise AssertionError("an answer from before the counter's restart, after one from since")
-            known.add(total.counter_life)
+            known.add(total.counter_incarnation)
             del self.waits[pending.done]
 
     def play(self):
@@ -186,17 +186,17 @@
         Network(seed).play()
 
 
-def without_lives(self, now, life):
-    self.lives = [life]
+def without_lives(self, now, incarnation):
+    self.incarnations = [incarnation]
     return True
 
 
 GUARDS = {
     "each ask once": lambda: mock.patch.object(ReplayWindow, "take", lambda self, number: True),
-    "an answer bears the life that asked": lambda: mock.patch.object(
+    "an answer bears the incarnation that asked": lambda: mock.patch.object(
         Quota, "_answers", lambda self, pending, total: True
     ),
-    "former lives are told apart": lambda: mock.patch.object(quota_module.Lives, "hear", without_lives),
+    "former incarnations are told apart": lambda: mock.patch.object(quota_module.Incarnations, "hear", without_lives),
 }
 
 
--- a/tests/cluster/test_golden.py
+++ b/tests/cluster/test_golden.py
@@ -21,8 +21,8 @@
     GatewayAddress,
     GatewayHeartbeat,
     HeartbeatReply,
-    LeaseAsk,
-    LeaseGrant,
+    LeaseReply,
+    LeaseRequest,
     PeerNotice,
     Plan,
     RegistryUpdate,
@@ -34,16 +34,16 @@
     decode_configuration_update,
     decode_registry_update,
 )
-from fernyard.cluster.control_plane import events as e
+from fernyard.cluster.control_plane import events
 from fernyard.cluster.control_plane.messages import (
     Accept,
     Accepted,
-    CarryChange,
-    CarryResult,
     Decision,
+    ForwardedChange,
+    ForwardedChangeResult,
+    MessageReceived,
     Prepare,
     Promise,
-    Received,
     Refusal,
     ReplicaHeartbeat,
     StoredBody,
@@ -54,13 +54,13 @@
 from fernyard.cluster.control_plane.recovery import recover
 from fernyard.cluster.control_plane.replica import Replica, ReplicaSettings
 from fernyard.cluster.control_plane.state import (
-    Ballot,
     BeginTerm,
     ConfigurationId,
     Confirm,
     ControlState,
     FinishReplacement,
     Member,
+    ProposalNumber,
     ReplaceMember,
     SetConfiguration,
     SetEvacuation,
@@ -74,7 +74,7 @@
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 ID, OLDER = ConfigurationId.of(7, b"seven"), ConfigurationId.of(6, b"six")
 MEMBERS = (Member("10.0.0.1", 1), Member("10.0.0.2", 1), Member("10.0.0.3", 99))
-BALLOT, HIGHER = Ballot(3, 41), Ballot(4, 17)
+BALLOT, HIGHER = ProposalNumber(3, 41), ProposalNumber(4, 17)
 STATE = ControlState(
     9, ID, (OLDER,), (ZoneOrder("z1", 2, True), ZoneOrder("z2", 1, False)), 2, MEMBERS, MEMBERS[:2], 5, 77
 )
@@ -96,9 +96,9 @@
 
 # Label: (value, its decoder). The labels stay; the classes may be renamed.
 FORMS = {
-    "lease request": (LeaseAsk("10.0.0.1/1", 4, 9), decode),
-    "lease reply": (LeaseGrant("10.0.0.2/1", 4, 9, False, 12), decode),
-    "lease reply, default": (LeaseGrant("10.0.0.2/1", 4, 9, True), decode),
+    "lease request": (LeaseRequest("10.0.0.1/1", 4, 9), decode),
+    "lease reply": (LeaseReply("10.0.0.2/1", 4, 9, False, 12), decode),
+    "lease reply, default": (LeaseReply("10.0.0.2/1", 4, 9, True), decode),
     "gateway heartbeat": (
         GatewayHeartbeat("g1", 123, "10.0.1.1", "z1", "r1", "10.0.1.1:80", True, False, 9, (5, 3)),
         common_messages.decode,
@@ -125,39 +125,39 @@
     "accepted": (Accepted(MEMBERS[2], BALLOT), decode),
     "refusal": (Refusal(BALLOT, HIGHER), decode),
     "decision": (Decision(BALLOT, STATE), decode),
-    "forwarded configuration": (CarryChange(3, 41, SetConfiguration(ID), 17, 5), decode),
-    "forwarded evacuation": (CarryChange(3, 41, SetEvacuation("z1", True), 17, 5), decode),
-    "forwarded term": (CarryChange(3, 41, BeginTerm(77, 4), 17, 5), decode),
-    "forwarded replacement": (CarryChange(3, 41, ReplaceMember(2, 5, MEMBERS[0], MEMBERS[2]), 17, 5), decode),
-    "forwarded addition": (CarryChange(3, 41, ReplaceMember(2, 5, None, MEMBERS[2]), 17, 5), decode),
-    "forwarded end of replacement": (CarryChange(3, 41, FinishReplacement(2), 17, 5), decode),
-    "forwarded confirmation": (CarryChange(3, 41, Confirm(), 17, 5), decode),
-    "forwarded result": (CarryResult(3, 41), decode),
-    "forwarded result, conflict": (CarryResult(3, 41, OLDER), decode),
+    "forwarded configuration": (ForwardedChange(3, 41, SetConfiguration(ID), 17, 5), decode),
+    "forwarded evacuation": (ForwardedChange(3, 41, SetEvacuation("z1", True), 17, 5), decode),
+    "forwarded term": (ForwardedChange(3, 41, BeginTerm(77, 4), 17, 5), decode),
+    "forwarded replacement": (ForwardedChange(3, 41, ReplaceMember(2, 5, MEMBERS[0], MEMBERS[2]), 17, 5), decode),
+    "forwarded addition": (ForwardedChange(3, 41, ReplaceMember(2, 5, None, MEMBERS[2]), 17, 5), decode),
+    "forwarded end of replacement": (ForwardedChange(3, 41, FinishReplacement(2), 17, 5), decode),
+    "forwarded confirmation": (ForwardedChange(3, 41, Confirm(), 17, 5), decode),
+    "forwarded result": (ForwardedChangeResult(3, 41), decode),
+    "forwarded result, conflict": (ForwardedChangeResult(3, 41, OLDER), decode),
     "stored body": (StoredBody(ID, b"seven"), decode_body),
     "stored vote": (VOTE, msgspec.msgpack.Decoder(Vote).decode),
-    "stored first vote": (Vote(MEMBERS[0], None, Ballot(0, 0), STATE), msgspec.msgpack.Decoder(Vote).decode),
+    "stored first vote": (Vote(MEMBERS[0], None, ProposalNumber(0, 0), STATE), msgspec.msgpack.Decoder(Vote).decode),
 }
 
 # Labels of events and commands in the runs, and how to write their fields.
 LABELS = {
-    e.PutConfiguration: "put",
-    e.OrderEvacuation: "evacuation",
-    e.ReadConfiguration: "read",
-    e.Expired: "expired",
-    e.Stored: "stored",
-    e.BodyReceived: "body",
-    e.LeaseChanged: "lease",
-    e.Leave: "leave",
-    e.Tick: "tick",
-    Received: "received",
-    e.Save: "save",
-    e.Erase: "erase",
-    e.Send: "send",
-    e.PushBody: "push",
-    e.FetchBody: "fetch",
-    e.Reply: "reply",
-    e.Publish: "publish",
+    events.ConfigurationSubmitted: "put",
+    events.EvacuationSubmitted: "evacuation",
+    events.ReadRequested: "read",
+    events.CallExpired: "expired",
+    events.AreaStored: "stored",
+    events.BodyReceived: "body",
+    events.LeaseChanged: "lease",
+    events.ShutdownRequested: "leave",
+    events.Tick: "tick",
+    MessageReceived: "received",
+    events.StoreArea: "save",
+    events.EraseArea: "erase",
+    events.SendMessage: "send",
+    events.PushBody: "push",
+    events.FetchBody: "fetch",
+    events.CompleteCall: "reply",
+    events.PublishState: "publish",
 }
 SEEDS = range(12)
 EVERY = 200  # steps between two digests of a run
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -6,7 +6,7 @@
 import testtools
 from testtools.matchers import Equals
 
-from fernyard.cluster.common.messages import NONE, GatewayAddress, Service, Tenant, Worker
+from fernyard.cluster.common.messages import NO_VERSION, GatewayAddress, Service, Tenant, Worker
 from fernyard.cluster.data_plane.budget import Budget
 from fernyard.cluster.data_plane.quota import Ledger, Quota, shape
 from fernyard.cluster.data_plane.workers import Workers
@@ -42,7 +42,7 @@
             for _ in range(int(rate * step + self.random.random())):
                 number = 0 if self.random.random() < skew else self.random.randrange(len(self.proxies))
                 proxy = self.proxies[number]
-                count, wait = proxy.ask(now, tenant, "c", NONE, None)
+                count, wait = proxy.ask(now, tenant, "c", NO_VERSION, None)
                 if not quiet:
                     self.post.append((now + self.delay, "count", proxy, count))
                 self.post.append((now + wait, "late", proxy, count, wait))
@@ -50,7 +50,7 @@
             self.post = [item for item in self.post if item[0] > now]
             for at, kind, proxy, message, *more in due:
                 if kind == "count":
-                    total = self.ledger.add(now, message, NONE)
+                    total = self.ledger.add(now, message, NO_VERSION)
                     if not quiet:
                         self.post.append((now + self.delay, "total", proxy, total))
                 elif kind == "total":
@@ -110,8 +110,8 @@
         fleet.play(tenant, 90, 3.0)
         fleet.ledger = Ledger("c", 2)
         for proxy in fleet.proxies:
-            count, _ = proxy.ask(3.0, tenant, "c", NONE, None)
-            total = fleet.ledger.add(3.0, count, NONE)
+            count, _ = proxy.ask(3.0, tenant, "c", NO_VERSION, None)
+            total = fleet.ledger.add(3.0, count, NO_VERSION)
         self.assertTrue(total.previous > 60, total)
 
     def test_units_past_the_limit_are_not_kept(self):
@@ -119,8 +119,8 @@
         tenant = Tenant("t", None, 4, 4, [])
         totals = []
         for _ in range(40):
-            count, _ = quota.ask(0.0, tenant, "c", NONE, None)
-            totals.append(ledger.add(0.0, count, NONE).current)
+            count, _ = quota.ask(0.0, tenant, "c", NO_VERSION, None)
+            totals.append(ledger.add(0.0, count, NO_VERSION).current)
         self.assertThat(max(totals), Equals(totals[-1]))
         self.assertTrue(totals[-1] <= shape(4, 4)[1] + 1.0)
 
--- a/tests/cluster/test_replica.py
+++ b/tests/cluster/test_replica.py
@@ -71,7 +71,7 @@
     "two zones at once at two machines: neither is lost": story(
         ("both_zones", "a", "z1", "b", "z2"), zones=["z1", "z2"]
     ),
-    "an evacuation lives through a loss of power of all": story(
+    "an evacuation incarnations through a loss of power of all": story(
         ("evacuate", "a", "z1", 200),
         ("kill", "a", "b", "c"),
         ("start", "a"),
--- a/tests/cluster/test_router.py
+++ b/tests/cluster/test_router.py
@@ -6,7 +6,7 @@
 from testtools.matchers import Equals
 
 from fernyard.cluster.common.messages import (
-    NONE,
+    NO_VERSION,
     ConfigurationUpdate,
     GatewayAddress,
     Plan,
@@ -91,7 +91,7 @@
         self.now, self.number, self.orders = 10.0, 0, []
         self.router = RequestRouter(self.now, settings(), 1)
         self.tell(t.ConfigurationChanged(ConfigurationUpdate(1, plan(**told), [])))
-        self.tell(t.RegistryChanged(RegistryUpdate(NONE, (1, 1), dict(workers), dict(gateways), self.now)))
+        self.tell(t.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), dict(workers), dict(gateways), self.now)))
 
     def tell(self, event):
         orders = self.router.step(self.now, event)
@@ -100,7 +100,9 @@
             if type(order) is t.Add and order.ip is None:
                 count = order.count
                 self.tell(
-                    t.Counted(Total(count.ask, count.life, count.counter, 1, 0.0, self.counted(count), 1.0, NONE))
+                    t.Counted(
+                        Total(count.ask, count.incarnation, count.counter, 1, 0.0, self.counted(count), 1.0, NO_VERSION)
+                    )
                 )
         return orders
 
--- a/tests/cluster/test_soft_state.py
+++ b/tests/cluster/test_soft_state.py
@@ -5,7 +5,7 @@
 
 from fernyard.cluster.common import lease, rendezvous
 from fernyard.cluster.common.messages import (
-    NONE,
+    NO_VERSION,
     GatewayAddress,
     GatewayHeartbeat,
     Worker,
@@ -44,8 +44,8 @@
     def test_never_two(self):
         """Whatever links are cut, a second holder never begins before the first has stopped."""
         for cut in ((), ("ab", "ac"), ("ab",), ("bc", "ab"), ("ac", "bc", "ab")):
-            holders = {name: lease.Holder(name) for name in MEMBERS}
-            granters = {name: lease.Granter(0.0, True) for name in MEMBERS}
+            holders = {name: lease.LeaseCandidate(name) for name in MEMBERS}
+            granters = {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
             now, seen = 0.0, []
             while now < 12.0:
                 held = self.votes(now, holders, granters, cut if 3.0 < now < 8.0 else ())
@@ -55,8 +55,8 @@
             self.assertTrue(seen[-1:], cut)
 
     def test_cut_off_holder_stops_and_another_begins(self):
-        holders = {name: lease.Holder(name) for name in MEMBERS}
-        granters = {name: lease.Granter(0.0, True) for name in MEMBERS}
+        holders = {name: lease.LeaseCandidate(name) for name in MEMBERS}
+        granters = {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
         now = 0.0
         while now < 2.0:
             self.votes(now, holders, granters)
@@ -71,23 +71,23 @@
 
     def test_all_at_once(self):
         """All begin in the same moment and beat in step: one of them soon holds it, and keeps it."""
-        holders = {name: lease.Holder(name) for name in MEMBERS}
-        granters = {name: lease.Granter(0.0, True) for name in MEMBERS}
+        holders = {name: lease.LeaseCandidate(name) for name in MEMBERS}
+        granters = {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
         held = [self.votes(0.2 * step, holders, granters) for step in range(40)]
         self.assertThat(held[10:], Equals([held[10]] * 30))
         self.assertThat(len(held[10]), Equals(1))
 
     def test_one_whose_answers_are_cut_off_does_not_keep_the_votes(self):
         """Its asks arrive and take the votes, what is granted does not come back: another must get them in the end."""
-        holders = {name: lease.Holder(name) for name in MEMBERS}
-        granters = {name: lease.Granter(0.0, True) for name in MEMBERS}
+        holders = {name: lease.LeaseCandidate(name) for name in MEMBERS}
+        granters = {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
         held = [self.votes(0.2 * step, holders, granters, ("ba", "ca")) for step in range(40)]
         self.assertIn(["b"], held[:26])
 
     def test_a_vain_candidate_goes_on_granting_to_the_holder(self):
         """One that asked in vain has voted for itself under a higher epoch: the holder goes above it, and does not depend on
         the third member from then on."""
-        holder, votes = lease.Holder("a"), {name: lease.Granter(0.0, True) for name in MEMBERS}
+        holder, votes = lease.LeaseCandidate("a"), {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
 
         def renew(now, members):
             ask = holder.due(now, 0, votes["a"].until, 0)
@@ -106,7 +106,7 @@
         self.assertTrue(holder.holds(4.0))
 
     def test_granter_that_restarted_waits(self):
-        granter = lease.Granter(5.0, False)
+        granter = lease.LeaseVoter(5.0, False)
         self.assertFalse(granter.ask(5.1, "a", 9))
         self.assertTrue(granter.ask(5.0 + lease.LENGTH, "a", 9))
         self.assertFalse(granter.ask(5.1 + lease.LENGTH, "b", 9))
@@ -195,21 +195,21 @@
     def test_home_asks_at_once_others_wait_for_it(self):
         home = self.subscriber().home()
         other = "a" if home == "b" else "b"
-        self.assertThat(len(self.subscriber(home).heard(0.0, "core", 5, NONE)), Equals(1))
+        self.assertThat(len(self.subscriber(home).heard(0.0, "core", 5, NO_VERSION)), Equals(1))
         waits = self.subscriber(other)
-        self.assertThat(waits.heard(0.0, "core", 5, NONE), Equals([]))
-        pulls = waits.heard(0.05, f"ip-{home}", 5, NONE, home=True)
+        self.assertThat(waits.heard(0.0, "core", 5, NO_VERSION), Equals([]))
+        pulls = waits.heard(0.05, f"ip-{home}", 5, NO_VERSION, home=True)
         self.assertThat([pull.ip for pull in pulls], Equals([f"ip-{home}"]))
 
     def test_silent_home_is_passed_by(self):
         home = self.subscriber().home()
         waits = self.subscriber("a" if home == "b" else "b")
-        waits.heard(0.0, "core", 5, NONE)
+        waits.heard(0.0, "core", 5, NO_VERSION)
         self.assertThat(waits.due(0.1), Equals([]))
         self.assertThat([pull.ip for pull in waits.due(0.3)], Equals(["core"]))
         self.assertThat(waits.due(0.35), Equals([]))  # it is being asked
-        waits.heard(0.4, "core2", 5, NONE)
-        waits.got(0.6, "core2", 5, NONE, waits.gateways)
+        waits.heard(0.4, "core2", 5, NO_VERSION)
+        waits.got(0.6, "core2", 5, NO_VERSION, waits.gateways)
         self.assertThat(waits.due(1.0), Equals([]))
 
     def test_same_few_wherever_asked(self):
@@ -221,7 +221,7 @@
 
 
 def heartbeat(node, zone="z1", region="r1", ready=True, leaving=False):
-    return GatewayHeartbeat(node, 1, f"ip-{node}", zone, region, f"{node}:80", ready, leaving, 0, NONE)
+    return GatewayHeartbeat(node, 1, f"ip-{node}", zone, region, f"{node}:80", ready, leaving, 0, NO_VERSION)
 
 
 class TestDiscovery(testtools.TestCase):
--- a/tests/cluster/test_store.py
+++ b/tests/cluster/test_store.py
@@ -9,12 +9,12 @@
 from testtools.matchers import Equals, GreaterThan
 
 from fernyard.cluster.common.errors import StoreError
-from fernyard.cluster.control_plane import events as e
+from fernyard.cluster.control_plane import events
 from fernyard.cluster.control_plane.bodies import UNUSED
-from fernyard.cluster.control_plane.messages import Accept, Accepted, Decision, Received
+from fernyard.cluster.control_plane.messages import Accept, Accepted, Decision, MessageReceived
 from fernyard.cluster.control_plane.recovery import recover
 from fernyard.cluster.control_plane.replica import Replica, ReplicaSettings
-from fernyard.cluster.control_plane.state import NO_CONFIGURATION, Ballot, ConfigurationId, founding_state
+from fernyard.cluster.control_plane.state import NO_CONFIGURATION, ConfigurationId, ProposalNumber, founding_state
 from fernyard.cluster.control_plane.store import Files, Store
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -239,24 +239,24 @@
         """Accepts three configurations, each in place of the one before, and clears away what is unused."""
         recovered = recover(store.load(), SETTINGS, bootstrap, 5)
         replica = Replica(0.0, SETTINGS, 1, recovered.vote, recovered.bodies)
-        self.carry_out(store, replica, 0.0, replica.step(0.0, e.Tick()), answered)
+        self.carry_out(store, replica, 0.0, replica.step(0.0, events.Tick()), answered)
         for version in (2, 3, 4):
             now, body = version * UNUSED * 2, b"v%d" % version
             id = ConfigurationId.of(version, body)
             state = msgspec.structs.replace(FOUNDED, configuration=id, revision=version)
             for event in (
-                Received(IPS[1], Accept(Ballot(version, 7), state)),
-                e.BodyReceived(id, body),
-                Received(IPS[1], Decision(Ballot(version, 7), state)),
+                MessageReceived(IPS[1], Accept(ProposalNumber(version, 7), state)),
+                events.BodyReceived(id, body),
+                MessageReceived(IPS[1], Decision(ProposalNumber(version, 7), state)),
             ):
                 self.carry_out(store, replica, now, replica.step(now, event), answered)
 
     def carry_out(self, store, replica, now, orders, answered):
         for order in orders:
-            if type(order) is e.Save:
+            if type(order) is events.StoreArea:
                 store.save(order.area, order.content)
-                self.carry_out(store, replica, now, replica.step(now, e.Stored(order.area, True)), answered)
-            elif type(order) is e.Erase:
+                self.carry_out(store, replica, now, replica.step(now, events.AreaStored(order.area, True)), answered)
+            elif type(order) is events.EraseArea:
                 store.erase(order.area)
-            elif type(order) is e.Send and type(order.message) is Accepted:
+            elif type(order) is events.SendMessage and type(order.message) is Accepted:
                 answered.append(order.message.ballot)
--- a/tests/cluster/test_subscription.py
+++ b/tests/cluster/test_subscription.py
@@ -3,7 +3,7 @@
 import testtools
 from testtools.matchers import Equals
 
-from fernyard.cluster.common.messages import NONE, GatewayAddress
+from fernyard.cluster.common.messages import NO_VERSION, GatewayAddress
 from fernyard.cluster.data_plane.subscription import OPEN_PULLS, Subscriber
 
 STEP, BEAT, PULL = 0.05, 0.4, 0.8
@@ -20,7 +20,7 @@
         self.followers, self.cut, self.dead, self.pulls, self.lost = {}, [], [], [], False
         for name in names:
             follower = self.followers[name] = Subscriber(name, "z")
-            follower.got(0.0, "", 1, NONE, self.gateways, 0.0)
+            follower.got(0.0, "", 1, NO_VERSION, self.gateways, 0.0)
 
     @property
     def home(self):
@@ -43,19 +43,26 @@
             for core, revision in self.cores.items():
                 if self.reaches(name, core):
                     follower.confirmed(self.now, revision)
-                    self.ask(name, follower.heard(self.now, core, revision, NONE))
+                    self.ask(name, follower.heard(self.now, core, revision, NO_VERSION))
         self.ask(name, follower.due(self.now))
         for pull in [pull for pull in self.pulls if pull[0] == name and pull[2] <= self.now]:
             self.pulls.remove(pull)
             if self.reaches(name, pull[1]):
                 self.held[name] = max(self.held[name], self.cores.get(pull[1]) or self.held[pull[1]])
                 follower.got(
-                    self.now, pull[1], self.held[name], NONE, self.gateways, self.now if pull[1] in self.cores else None
+                    self.now,
+                    pull[1],
+                    self.held[name],
+                    NO_VERSION,
+                    self.gateways,
+                    self.now if pull[1] in self.cores else None,
                 )
                 if follower.home() == name and not self.lost:
                     for other, _ in follower.neighbours():
                         if self.reaches(name, other):
-                            self.ask(other, self.followers[other].heard(self.now, name, self.held[name], NONE, True))
+                            self.ask(
+                                other, self.followers[other].heard(self.now, name, self.held[name], NO_VERSION, True)
+                            )
 
     def ask(self, name, pulls):
         for pull in pulls:
@@ -68,7 +75,7 @@
         for name in self.names:
             for core in cores or self.cores:
                 if name not in self.dead and self.reaches(name, core) and not self.lost:
-                    self.ask(name, self.followers[name].heard(self.now, core, revision, NONE))
+                    self.ask(name, self.followers[name].heard(self.now, core, revision, NO_VERSION))
 
 
 class TestNews(testtools.TestCase):
@@ -138,7 +145,7 @@
         many pulls were open at once at most."""
         subscriber, pulls, now, most = Subscriber("a", "z"), [], 0.0, 0
         for core in delays:
-            pulls += [(now, pull) for pull in subscriber.heard(now, core, 2, NONE)]
+            pulls += [(now, pull) for pull in subscriber.heard(now, core, 2, NO_VERSION)]
         while now < until:
             now = round(now + STEP, 6)
             pulls += [(now, pull) for pull in subscriber.due(now)]
@@ -168,7 +175,7 @@
 
     def test_one_that_failed_at_once_is_asked_again_soon(self):
         subscriber = Subscriber("a", "z")
-        self.assertThat(len(subscriber.heard(0.0, "c1", 2, NONE)), Equals(1))
+        self.assertThat(len(subscriber.heard(0.0, "c1", 2, NO_VERSION)), Equals(1))
         subscriber.failed(0.05, "c1")
         self.assertThat(subscriber.due(0.1), Equals([]))
         self.assertThat([pull.ip for pull in subscriber.due(0.7)], Equals(["c1"]))
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings, strategies as st
 
 from fernyard.accord import wire
-from fernyard.accord.ballots import Granted, StoreVote
+from fernyard.accord.acceptor import Granted, StoreVote
 from fernyard.accord.follower import (
     Answered,
     Beat as FollowerBeat,
