--- a/fernyard/accord/register.py
+++ b/fernyard/accord/register.py
@@ -356,11 +356,11 @@
         for outcome in outcomes:
             request = self.acceptor.storing[2] if isinstance(outcome, StoreVote) else outcome.request
             if request is not None:
-                self.highest = max(self.highest, request.ballot[0])
+                self.highest = max(self.highest, request.proposal_number[0])
             if isinstance(outcome, Granted):
                 self._reply(outcome.request.sender, self._granted(outcome))
             elif isinstance(outcome, Refused):
-                refusal = Refusal(self.durable.cluster, outcome.request.ballot, outcome.promised)
+                refusal = Refusal(self.durable.cluster, outcome.request.proposal_number, outcome.promised)
                 self._reply(outcome.request.sender, refusal)
             else:
                 self.orders.append(Store(outcome.number, outcome.vote))
@@ -368,8 +368,8 @@
     def _granted(self, outcome):
         request, before = outcome.request, outcome.before
         if request.accept:
-            return Accepted(before.cluster, request.ballot)
-        return Promise(before.cluster, request.ballot, before.ballot, before.order)
+            return Accepted(before.cluster, request.proposal_number)
+        return Promise(before.cluster, request.proposal_number, before.ballot, before.order)
 
     def _store(self, vote):
         self._carry_out([self.acceptor.store(vote)])
--- a/fernyard/cluster/common/__init__.py
+++ b/fernyard/cluster/common/__init__.py
@@ -1,1 +1,1 @@
-"""What both programs of the system share: settings, messages, datagrams, errors, logs, and state told again."""
+"""Shared by both programs of the system: settings, messages, datagrams, errors, logs, the lease and the registry."""
--- a/fernyard/cluster/common/errors.py
+++ b/fernyard/cluster/common/errors.py
@@ -1,21 +1,24 @@
-"""Errors with codes. Each layer has its own and turns those from below; docs/system-operators.md lists them."""
+"""Errors with codes, which docs/system-operators.md lists. Each layer turns errors from below into its own."""
 
 from ...errors import FernyardError
 
 
 class ClusterError(FernyardError):
-    """Base of the system's errors; `code` names the kind for operators."""
+    """Base of the system's errors. `CODE` names the kind for operators, `DO` what to do about it."""
 
     CODE = "X000"
 
-    def __str__(self):
+    def __str__(self) -> str:
         return f"{self.CODE} {super().__str__()}"
 
-    def fields(self):
+    def fields(self) -> dict[str, str]:
+        """The error as fields of a log line."""
         return {"code": self.CODE, **super().fields()}
 
 
 class SettingsError(ClusterError):
+    """The settings file is missing, unreadable, or has a wrong field."""
+
     CODE, DO = "S100", "mend the settings file named by FERNYARD_BOOT"
 
 
@@ -26,13 +29,13 @@
 
 
 class ConfigurationConflictError(ClusterError):
-    """Another configuration is held under that number; answered 409."""
+    """Another configuration is stored under that version; answered 409."""
 
     CODE, DO = "W201", "read what is held with GET /-/config, and send yours under a higher number"
 
 
 class StoreError(ClusterError):
-    """The disk did not keep what it was told to keep."""
+    """The disk did not store what it was given."""
 
     CODE, DO = "D300", "look at the disk under dataDir: room, faults, time of a sync"
 
--- a/fernyard/cluster/common/logs.py
+++ b/fernyard/cluster/common/logs.py
@@ -1,12 +1,14 @@
-"""Log lines: short sentences, each behind the fixed prefix of its part."""
+"""Log lines: short sentences, each behind the name of the component that writes it."""
 
 import logging
 import sys
+from typing import Any
 
 import structlog
 
 
-def set_up():
+def set_up() -> None:
+    """Configures structlog for the whole process: logfmt on standard error, level info and above."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -20,16 +22,19 @@
 
 
 class ComponentLogger:
-    """A logger of one part; every sentence begins with its prefix."""
+    """The logger of one component; every sentence begins with the component's name."""
 
-    def __init__(self, prefix):
-        self.prefix, self.log = prefix, structlog.get_logger()
+    def __init__(self, component: str) -> None:
+        self.component, self.log = component, structlog.get_logger()
 
-    def info(self, sentence, **fields):
-        self.log.info(f"{self.prefix}: {sentence}", **fields)
+    def info(self, sentence: str, **fields: Any) -> None:
+        """Logs what an operator may want to know."""
+        self.log.info(f"{self.component}: {sentence}", **fields)
 
-    def warning(self, sentence, **fields):
-        self.log.warning(f"{self.prefix}: {sentence}", **fields)
+    def warning(self, sentence: str, **fields: Any) -> None:
+        """Logs what an operator should look at."""
+        self.log.warning(f"{self.component}: {sentence}", **fields)
 
-    def fault(self, sentence, **fields):
-        self.log.error(f"{self.prefix}: {sentence}", exc_info=True, **fields)
+    def exception(self, sentence: str, **fields: Any) -> None:
+        """Logs an unexpected exception with its traceback; to be called from an `except` block."""
+        self.log.error(f"{self.component}: {sentence}", exc_info=True, **fields)
--- a/fernyard/cluster/common/messages.py
+++ b/fernyard/cluster/common/messages.py
@@ -1,35 +1,40 @@
-"""What the system's own processes tell each other: msgspec structs, as datagrams and as bodies of HTTP.
+"""Messages between the system's own processes: msgspec structs, as datagrams and as bodies of HTTP.
 
-A revision numbers the decided control states (0: none). A mark orders registries: (term, number). Times are seconds.
+A `revision` numbers the decided control states (0: none). A registry version is the pair (term, number). Times are seconds.
+
+The tag of each message is part of the wire format and is given explicitly: classes may be renamed, tags may not.
 """
 
 import msgspec
 
-NO_VERSION = (0, 0)
+RegistryVersion = tuple[int, int]
+NO_VERSION: RegistryVersion = (0, 0)
 
 
 class Message(msgspec.Struct, array_like=True, tag=True, omit_defaults=True):
-    """Base: an array that begins with the name of its kind."""
+    """Base of datagrams: an array that begins with the tag of its kind."""
 
 
 class LeaseRequest(Message, tag="LeaseAsk"):
+    """A candidate asks a voter for the lease (`common.lease`)."""
+
     node: str
-    ask: int
+    request_id: int
     epoch: int
 
 
 class LeaseReply(Message, tag="LeaseGrant"):
-    """`seen`: the highest epoch that the member has voted for."""
+    """A voter's answer to `LeaseRequest`. `highest_epoch`: the highest epoch that it has voted for."""
 
     node: str
-    ask: int
+    request_id: int
     epoch: int
     granted: bool
-    seen: int = 0
+    highest_epoch: int = 0
 
 
-class GatewayHeartbeat(Message):
-    """A gateway tells the control planes that watch it how it is."""
+class GatewayHeartbeat(Message, tag="GatewayHeartbeat"):
+    """A gateway reports its state to the control planes that watch it. `front`: its address for clients."""
 
     node: str
     incarnation: int
@@ -38,35 +43,41 @@
     region: str
     front: str
     ready: bool
-    leaving: bool
+    draining: bool
     revision: int
-    registry: tuple[int, int]
+    registry: RegistryVersion
+
 
+class HeartbeatReply(Message, tag="HeartbeatReply"):
+    """The answer to `GatewayHeartbeat`, sent unasked as well when something is new.
 
-class HeartbeatReply(Message):
-    """The answer to GatewayHeartbeat, and a notice when something is new. `replicas`: ips of control planes. `revision`: what
-    is decided, told by one that met a majority of late; 0 by any other."""
+    `replicas`: ips of control planes. `revision`: the decided one, from a control plane that was in touch with a majority of
+    late; 0 from any other.
+    """
 
     node: str
     replicas: list[str]
     revision: int
-    registry: tuple[int, int]
+    registry: RegistryVersion
 
 
-class PeerNotice(Message):
-    """A gateway tells those of its zone what it holds."""
+class PeerNotice(Message, tag="PeerNotice"):
+    """A gateway notifies the others of its zone what it has."""
 
     node: str
     ip: str
     revision: int
-    registry: tuple[int, int]
+    registry: RegistryVersion
 
 
-class Count(Message):
-    """One add to a tenant's bucket. `units` are kept if the limit allows. `owed`: all units that this incarnation of the gateway
-    let past without asking, less those it gave back: a sum, so that none is lost or counted twice with a datagram.
-    `length` of a bucket in seconds; `recent`: units this gateway let past in the last bucket's length, for a counter that
-    knows nothing of it. `counter`: the mark of the gateway that is asked (`quota.counter_mark`)."""
+class Count(Message, tag="Count"):
+    """One add to a tenant's bucket at a counter gateway; `units` are added if `limit` allows.
+
+    `owed`: all units that this incarnation of the gateway admitted without asking, less those it gave back: a sum, so that
+    none is lost or counted twice with a datagram. `length` of a bucket in seconds. `recent`: units this gateway admitted in
+    the last bucket's length, for a counter that knows nothing of it. `counter`: which gateway is asked
+    (`quota.counter_mark`).
+    """
 
     ask: int
     node: str
@@ -78,12 +89,14 @@
     units: float
     owed: float
     recent: float
-    registry: tuple[int, int]
+    registry: RegistryVersion
 
 
-class Total(Message):
+class Total(Message, tag="Total"):
     """The totals after an add: previous and current bucket, and how much of the window lies in the previous one.
-    `incarnation`: of the gateway that asked; `counter` and `counter_incarnation`: who answers."""
+
+    `incarnation`: of the gateway that asked; `counter` and `counter_incarnation`: of the one that answers.
+    """
 
     ask: int
     incarnation: int
@@ -92,7 +105,7 @@
     previous: float
     current: float
     overlap: float
-    registry: tuple[int, int]
+    registry: RegistryVersion
 
 
 Datagram = LeaseRequest | LeaseReply | GatewayHeartbeat | HeartbeatReply | PeerNotice | Count | Total
@@ -104,6 +117,8 @@
 
 
 class Service(msgspec.Struct, array_like=True):
+    """A service. For `cold_s` seconds after its start a worker takes `cold_rate` requests a second at most (slow start)."""
+
     name: str
     cold_s: float
     cold_rate: float
@@ -111,6 +126,8 @@
 
 
 class Route(msgspec.Struct, array_like=True):
+    """A route. `timeout` and `target` (the latency target) in seconds; `split`: weight by service; `homes`: regions."""
+
     name: str
     prefix: str
     kind: str
@@ -124,6 +141,8 @@
 
 
 class Tenant(msgspec.Struct, array_like=True):
+    """A tenant. `rate` in units a second and `burst` in units bound it; 0: no limit."""
+
     name: str
     prio: int | None
     rate: float
@@ -132,7 +151,7 @@
 
 
 class Plan(msgspec.Struct, array_like=True):
-    """One configuration in force. `id`: its number and digest."""
+    """One configuration in force. `id`: its version and digest. `hosts`: routes by host; `keys`: index of a tenant by key."""
 
     id: str
     services: list[Service]
@@ -147,8 +166,8 @@
 
 
 class ConfigurationUpdate(msgspec.Struct, array_like=True):
-    """Answer to a gateway that is behind: the decided revision, its plan (None: the one that the gateway holds) and the zones
-    that nothing is to go to."""
+    """Answer to a gateway that is behind: the decided revision, its plan (None: the one that the gateway has) and the zones
+    that receive no traffic."""
 
     revision: int
     plan: Plan | None
@@ -156,7 +175,7 @@
 
 
 class Worker(msgspec.Struct, array_like=True):
-    """`cold_until` in the clock of whoever sends it."""
+    """An endpoint. `capacity` in concurrent requests; `cold_until` (end of its slow start) in the clock of the sender."""
 
     id: str
     service: str
@@ -168,7 +187,7 @@
 
 
 class GatewayAddress(msgspec.Struct, array_like=True):
-    """A gateway that is in service: a place for counts, a home for news, an address for clients."""
+    """A gateway that is in service: a counter, a home for updates, an address for clients."""
 
     node: str
     ip: str
@@ -179,10 +198,10 @@
 
 
 class RegistryUpdate(msgspec.Struct, array_like=True):
-    """A snapshot (`since` is (0, 0)) or the changes since a mark; removed keys map to None. `now`: the sender's clock."""
+    """A snapshot (`since` is (0, 0)) or the changes since a version; removed keys map to None. `now`: the sender's clock."""
 
-    since: tuple[int, int]
-    mark: tuple[int, int]
+    since: RegistryVersion
+    version: RegistryVersion
     workers: dict[str, Worker | None]
     gateways: dict[str, GatewayAddress | None]
     now: float
--- a/fernyard/cluster/common/replay.py
+++ b/fernyard/cluster/common/replay.py
@@ -1,48 +1,55 @@
-"""Which numbered messages of one sender were seen already (an anti-replay window). Free of I/O."""
+"""Which numbered messages of one sender were received already (an anti-replay window), and which of its incarnations is the
+current one. Free of I/O; times are seconds."""
 
 
 class ReplayWindow:
-    """Takes each number once. Numbers may come late and out of order; those that fell out of the window are refused."""
+    """Accepts each number once. Numbers may come late and out of order; those below the window are refused."""
 
     SIZE = 1024
 
-    def __init__(self):
-        self.highest, self.seen = 0, 0  # bit n of `seen`: highest - n was taken
+    def __init__(self) -> None:
+        self.highest = 0
+        self.accepted = 0  # bit n: `highest - n` was accepted
 
-    def take(self, number):
+    def accept(self, number: int) -> bool:
         """Is it the first time that this number comes?"""
         if number > self.highest:
             ahead = number - self.highest
-            self.seen = (self.seen << min(ahead, self.SIZE) | 1) & ((1 << self.SIZE) - 1)
+            self.accepted = (self.accepted << min(ahead, self.SIZE) | 1) & ((1 << self.SIZE) - 1)
             self.highest = number
             return True
         bit = 1 << (self.highest - number) if self.highest - number < self.SIZE else 0
-        if not bit or self.seen & bit:
+        if not bit or self.accepted & bit:
             return False
-        self.seen |= bit
+        self.accepted |= bit
         return True
 
 
 class Incarnations:
-    """The incarnations of one peer, the newest last: what comes late from a former one is told apart. Incarnations are random, so one
-    that was not heard of before is taken for the newest; if it was in truth an older one, whose first message here came
-    late, the true one holds again once the other was silent for `LATEST`."""
+    """The incarnations of one peer, the newest last, so that late messages of a former one are told apart.
 
-    KEPT, LATEST = 8, 2.0  # incarnations; seconds by which a message may be late
+    Incarnations are random numbers, so one that was not seen before is taken for the newest. If it was in truth an older one,
+    whose first message here came late, the true one becomes current again once the other was silent for `MAX_DELAY`.
+    """
 
-    def __init__(self):
-        self.incarnations, self.heard_at = [], 0.0
+    REMEMBERED = 8
+    MAX_DELAY = 2.0  # by which a message may be late
+
+    def __init__(self) -> None:
+        self.incarnations: list[int] = []
+        self.received_at = 0.0
 
     @property
-    def current(self):
+    def current(self) -> int | None:
+        """The newest incarnation, or None where none is known."""
         return self.incarnations[-1] if self.incarnations else None
 
-    def hear(self, now, incarnation):
-        """Is it the incarnation that holds now?"""
+    def accept(self, now: float, incarnation: int) -> bool:
+        """A message of that incarnation came: is it of the current one?"""
         if incarnation != self.current:
-            if incarnation in self.incarnations and now - self.heard_at < self.LATEST:
+            if incarnation in self.incarnations and now - self.received_at < self.MAX_DELAY:
                 return False
             others = [other for other in self.incarnations if other != incarnation]
-            self.incarnations = [*others[1 - self.KEPT :], incarnation]
-        self.heard_at = now
+            self.incarnations = [*others[1 - self.REMEMBERED :], incarnation]
+        self.received_at = now
         return True
--- a/fernyard/cluster/common/settings.py
+++ b/fernyard/cluster/common/settings.py
@@ -1,127 +1,163 @@
-"""The settings file that FERNYARD_BOOT names (DEPLOY.md): unknown fields are passed over, known ones are checked."""
+"""The settings file that FERNYARD_BOOT names (DEPLOY.md): unknown fields are ignored, known ones are checked."""
 
 import os
 import tomllib
+from collections.abc import Mapping
+from typing import Any, TypeVar
 
 import attrs
 
 from .errors import SettingsError
 
-KINDS = {"true": True, "false": False}
+Address = tuple[str, int]  # (ip, port)
+Figure = float | bool
+TRUTH_VALUES = {"true": True, "false": False}
+T = TypeVar("T")
 
 
-class BadField(ValueError):
-    """What is wrong with a field; `parse` says which field."""
+class InvalidFieldError(ValueError):
+    """What is wrong with a field."""
 
-
-def _address(text):
-    host, _, port = str(text).rpartition(":")
-    if not host or not port.isdigit():
-        raise BadField(f"no address: {text!r}")
-    return host, int(port)
-
-
-def _figure(text):
-    if text in KINDS:
-        return KINDS[text]
-    return float(text)
+    def __init__(self, field: str, complaint: str) -> None:
+        super().__init__(f"{field} {complaint}")
 
 
 @attrs.frozen
 class Settings:
-    """Addresses are (ip, port); times are seconds; `bounds` maps names to numbers or truth values."""
+    """Addresses are (ip, port); times are seconds; `bounds` maps names to numbers or truth values.
+
+    `ports`: the first and the last that the process may use; `zones`: {zone: region}; `binds`: {name: address to serve at};
+    `cloud`: the platform, None where the file names none; `cloud_rate`: calls a second that it takes from all.
+    """
 
     node: str
     ip: str
     zone: str
     region: str
-    ports: tuple
-    seeds: tuple
+    ports: tuple[int, int]
+    seeds: tuple[Address, ...]
     bootstrap: bool
     voting: bool
-    zones: dict
-    binds: dict
-    bounds: dict
-    faults: dict
+    zones: dict[str, str]
+    binds: dict[str, Address]
+    bounds: dict[str, Figure]
+    faults: dict[str, Any]
     data_dir: str
     memory_mb: float
     descriptors: int
     link_mbps: float
-    cloud: tuple
+    cloud: Address | None
     cloud_rate: float
 
     @property
-    def internal(self):
+    def internal(self) -> Address:
         """Where the system's own processes reach this one, over UDP and TCP alike."""
         return self.ip, self.ports[0]
 
-    def bound(self, name, default):
+    def bound(self, name: str, default: Figure) -> Figure:
+        """The figure of that name, or the default."""
         return self.bounds.get(name, default)
 
 
-def read(path=None):
-    """The settings as checked; SettingsError says which field is wrong."""
+def read(path: str | None = None) -> Settings:
+    """The settings as checked. Raises SettingsError, which says which field is wrong."""
     path = path or os.environ.get("FERNYARD_BOOT", "")
     if not path:
         raise SettingsError("FERNYARD_BOOT is not set")
     try:
         with open(path, "rb") as file:
-            told = tomllib.load(file)
-    except OSError as why:
-        raise SettingsError(why.strerror or "cannot be read", path) from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as why:
-        raise SettingsError(str(why), path) from None
-    return parse(told, path)
+            fields = tomllib.load(file)
+    except OSError as error:
+        raise SettingsError(error.strerror or "cannot be read", path) from error
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise SettingsError(str(error), path) from error
+    return parse(fields, path)
+
+
+def parse(fields: Mapping[str, Any], where: str = "settings") -> Settings:
+    """The settings of a file that was read; `where`: its path. Raises SettingsError."""
+    try:
+        return _parse(_Fields(fields))
+    except InvalidFieldError as error:
+        raise SettingsError(str(error), where) from error
+
+
+def _parse(fields: "_Fields") -> Settings:
+    caps, cloud = fields.section("caps"), fields.section("cloud")
+    return Settings(
+        ports=_port_range(fields.take("portRange", list)),
+        seeds=tuple(_address("seedAddrs", text) for text in fields.take("seedAddrs", list)),
+        binds={name: _address("binds", text) for name, text in fields.take("binds", dict, {}).items()},
+        bounds=_bounds(fields.take("bounds", list, [])),
+        cloud=_address("cloud", cloud.values["addr"]) if "addr" in cloud.values else None,
+        cloud_rate=cloud.number("ratePerS", 10.0),
+        node=fields.take("node", str),
+        ip=fields.take("ip", str),
+        zone=fields.take("zone", str),
+        region=fields.take("region", str),
+        bootstrap=fields.take("bootstrap", bool, False),
+        voting=fields.take("voting", bool, False),
+        zones=fields.take("zones", dict, {}),
+        faults=fields.take("faults", dict, {}),
+        data_dir=fields.take("dataDir", str, ""),
+        memory_mb=caps.number("memMb", 256.0),
+        descriptors=int(caps.number("maxFds", 1024.0)),
+        link_mbps=caps.number("linkMbps", 1000.0),
+    )
+
 
+@attrs.frozen
+class _Fields:
+    """The fields of the file, or of one table in it (`name`)."""
 
-def parse(told, where="settings"):
-    field = ""
+    values: Mapping[str, Any]
+    name: str = ""
 
-    def take(name, kind, default=None):
-        nonlocal field
-        field = name
-        value = told.get(name, default)
+    def take(self, field: str, kind: type[T], default: T | None = None) -> T:
+        value = self.values.get(field, default)
         if value is None:
-            raise BadField("is missing")
+            raise InvalidFieldError(field, "is missing")
         if not isinstance(value, kind) or isinstance(value, bool) and kind is not bool:
-            raise BadField(f"is not as it should be: {value!r}")
+            raise InvalidFieldError(field, f"is not as it should be: {value!r}")
         return value
 
+    def section(self, field: str) -> "_Fields":
+        return _Fields(self.take(field, dict, {}), field)
+
+    def number(self, field: str, default: float) -> float:
+        try:
+            return float(self.values.get(field, default))
+        except (TypeError, ValueError) as error:
+            raise InvalidFieldError(self.name, str(error)) from error
+
+
+def _address(field: str, text: Any) -> Address:
+    host, _, port = str(text).rpartition(":")
+    if not host or not port.isdigit():
+        raise InvalidFieldError(field, f"no address: {text!r}")
+    return host, int(port)
+
+
+def _port_range(ports: list[Any]) -> tuple[int, int]:
+    if len(ports) != 2 or not all(isinstance(port, int) for port in ports) or ports[0] > ports[1]:
+        raise InvalidFieldError("portRange", "is no pair of ports")
+    return ports[0], ports[1]
+
+
+def _bounds(texts: list[Any]) -> dict[str, Figure]:
+    """Figures by name, from texts such as "ackS=8,strictRevoke=false"."""
+    bounds: dict[str, Figure] = {}
+    for text in texts:
+        for assignment in str(text).split(","):
+            name, _, value = assignment.partition("=")
+            bounds[name.strip()] = _figure(value.strip())
+    return bounds
+
+
+def _figure(text: str) -> Figure:
+    if text in TRUTH_VALUES:
+        return TRUTH_VALUES[text]
     try:
-        ports = tuple(take("portRange", list))
-        if len(ports) != 2 or not all(isinstance(port, int) for port in ports) or ports[0] > ports[1]:
-            raise BadField("is no pair of ports")
-        seeds = tuple(_address(text) for text in take("seedAddrs", list))
-        binds = {name: _address(text) for name, text in take("binds", dict, {}).items()}
-        bounds = {}
-        for text in take("bounds", list, []):
-            for part in str(text).split(","):
-                name, _, value = part.partition("=")
-                bounds[name.strip()] = _figure(value.strip())
-        caps, cloud = take("caps", dict, {}), take("cloud", dict, {})
-        field, cloud = (
-            "cloud",
-            (_address(cloud["addr"]) if "addr" in cloud else None, float(cloud.get("ratePerS", 10.0))),
-        )
-        return Settings(
-            node=take("node", str),
-            ip=take("ip", str),
-            zone=take("zone", str),
-            region=take("region", str),
-            ports=ports,
-            seeds=seeds,
-            bootstrap=take("bootstrap", bool, False),
-            voting=take("voting", bool, False),
-            zones=take("zones", dict, {}),
-            binds=binds,
-            bounds=bounds,
-            faults=take("faults", dict, {}),
-            data_dir=take("dataDir", str, ""),
-            memory_mb=float(caps.get("memMb", 256)),
-            descriptors=int(caps.get("maxFds", 1024)),
-            link_mbps=float(caps.get("linkMbps", 1000.0)),
-            cloud=cloud[0],
-            cloud_rate=cloud[1],
-        )
-    except (ValueError, TypeError) as why:
-        raise SettingsError(f"{field} {why}", where) from None
+        return float(text)
+    except ValueError as error:
+        raise InvalidFieldError("bounds", str(error)) from error
--- a/fernyard/cluster/common/transport.py
+++ b/fernyard/cluster/common/transport.py
@@ -1,58 +1,74 @@
 """Datagrams and small HTTP servers between the system's own processes. Decides nothing."""
 
 import asyncio
+from collections.abc import Awaitable, Callable, Mapping
+from typing import Any
 
 import msgspec
 from aiohttp.web_request import BaseRequest
 from aiohttp.web_response import Response
 from aiohttp.web_server import Server
 
+from . import messages
 from .logs import ComponentLogger
-from .messages import decode, encode
+from .messages import encode
 
 log = ComponentLogger("internal")
+Address = tuple[str, int]  # (ip, port)
+HttpAnswer = tuple[int, bytes, Mapping[str, str] | None]  # (status, body, headers)
+BACKLOG = 512  # connections that the kernel queues
+BODY_LIMIT = 1 << 20  # bytes of a request
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """Messages to and from other processes, each in one datagram; what cannot be read is dropped."""
-
-    def __init__(self, heard, decode=decode):
-        """`heard(message, address)`; `decode`: bytes to a message, or msgspec.MsgspecError."""
-        self.heard, self.decode, self.transport, self.dropped = heard, decode, None, 0
-
-    async def open(self, address):
+    """Messages to and from other processes, each in one datagram; what cannot be decoded is dropped."""
+
+    def __init__(
+        self, on_message: Callable[[Any, Address], None], decode: Callable[[bytes], Any] = messages.decode
+    ) -> None:
+        """`decode`: bytes to a message; raises msgspec.MsgspecError."""
+        self.on_message, self.decode = on_message, decode
+        self.transport: asyncio.DatagramTransport | None = None
+        self.dropped = 0
+
+    async def open(self, address: Address) -> None:
+        """Binds to `address`; raises OSError."""
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=address)
 
-    def connection_made(self, transport):
-        self.transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self.transport = transport  # type: ignore[assignment]  # always a DatagramTransport here
 
-    def datagram_received(self, data, address):
+    def datagram_received(self, data: bytes, address: Address) -> None:
         try:
             message = self.decode(data)
         except msgspec.MsgspecError:
             self.dropped += 1
             return
         try:
-            self.heard(message, address)
+            self.on_message(message, address)
         except Exception:
             log.exception("A message broke its handler.", kind=type(message).__name__)
 
-    def send(self, message, address):
+    def send(self, message: messages.Message, address: Address) -> None:
+        """Sends a message; it may be lost."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(encode(message), address)
 
-    def error_received(self, why):
+    def error_received(self, error: Exception) -> None:
         self.dropped += 1
 
-    def close(self):
+    def close(self) -> None:
+        """Closes the socket."""
         if self.transport is not None:
             self.transport.close()
 
 
-async def serve(handle, address, body_limit=1 << 20):
-    """An HTTP server at `address`; `handle(request)` gives (status, body, headers)."""
+async def serve(
+    handle: Callable[[BaseRequest], Awaitable[HttpAnswer]], address: Address, body_limit: int = BODY_LIMIT
+) -> asyncio.Server:
+    """An HTTP server at `address`; an exception of `handle` is logged and answered 500."""
 
-    async def answer(request):
+    async def answer(request: BaseRequest) -> Response:
         try:
             status, body, headers = await handle(request)
         except (ConnectionError, asyncio.CancelledError):
@@ -64,8 +80,8 @@
 
     loop = asyncio.get_running_loop()
 
-    def made(message, payload, protocol, writer, task):
+    def make_request(message: Any, payload: Any, protocol: Any, writer: Any, task: Any) -> BaseRequest:
         return BaseRequest(message, payload, protocol, writer, task, loop, client_max_size=body_limit)
 
-    server = Server(answer, request_factory=made, access_log=None, handler_cancellation=False)
-    return await loop.create_server(server, *address, backlog=512, reuse_address=True)
+    server = Server(answer, request_factory=make_request, access_log=None, handler_cancellation=False)
+    return await loop.create_server(server, *address, backlog=BACKLOG, reuse_address=True)
--- a/fernyard/cluster/control_plane/api.py
+++ b/fernyard/cluster/control_plane/api.py
@@ -1,112 +1,131 @@
-"""The calls of operators, clients and other processes of the system (the table stands in `calls.py`). Decides nothing."""
+"""The calls of operators, clients and other processes of the system (the table is `call_table.CALLS`). Decides nothing."""
+
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING
 
 import msgspec
+from aiohttp.web_request import BaseRequest
 
 from ..common.errors import ConfigurationConflictError, ConfigurationError
 from ..common.logs import ComponentLogger
 from ..common.messages import ConfigurationUpdate
-from . import events
-from .call_table import find
+from ..common.transport import HttpAnswer
+from .call_table import Bind, find
+from .events import BodyReceived, ConfigurationSubmitted, EvacuationSubmitted, ReadRequested
 from .messages import StoredBody, decode_body, encode
 
+if TYPE_CHECKING:
+    from .process import ControlPlane
+
 log = ComponentLogger("control-plane")
 JSON = {"Content-Type": "application/json"}
 encode_json = msgspec.json.encode
 
 
 class Api:
-    def __init__(self, process):
-        """`process`: the ControlPlane that this is a part of."""
+    """The handlers of all calls. Each takes the request and the parameter of its path."""
+
+    def __init__(self, process: "ControlPlane") -> None:
+        """`process`: the control plane that this is a part of."""
         self.process = process
 
-    def handler(self, bind):
+    def handler(self, bind: Bind) -> Callable[[BaseRequest], Awaitable[HttpAnswer]]:
         """The handler of all calls that come to one address."""
 
-        async def handle(request):
+        async def handle(request: BaseRequest) -> HttpAnswer:
             found = find(request.method, request.path, bind)
             if found is None:
                 return 404, b"", None
-            call, rest = found
-            if call is None:
+            if found.call is None:
                 return 405, b"", None
-            return await getattr(self, call.handler)(request, rest)
+            answer: HttpAnswer = await getattr(self, found.call.handler)(request, found.parameter)
+            return answer
 
         return handle
 
     # Operators -------------------------------------------------------------------------------------------------------
 
-    async def put_config(self, request, _):
-        from . import configuration  # see ControlPlane.do_publish
+    async def put_configuration(self, request: BaseRequest, _: str) -> HttpAnswer:
+        """PUT /-/config."""
+        from . import configuration  # see GatewayPlan.update
 
         body = await request.read()
         try:
-            id, _ = configuration.read(body)
-        except ConfigurationError as why:
-            log.info("A configuration is refused.", **why.fields())
-            return 400, encode_json(why.fields()), JSON
-        reply = await self.process.call(lambda ticket: events.ConfigurationSubmitted(ticket, id, body))
+            id, _configuration = configuration.read(body)
+        except ConfigurationError as error:
+            log.info("A configuration is refused.", **error.fields())
+            return 400, encode_json(error.fields()), JSON
+        reply = await self.process.call(lambda ticket: ConfigurationSubmitted(ticket, id, body))
         if reply.status == 409:
-            why = ConfigurationConflictError("another configuration is held under that number", str(reply.taken))
-            log.warning("A configuration is refused.", sent=str(id), **why.fields())
-            return 409, encode_json(why.fields()), JSON
+            conflict = ConfigurationConflictError(
+                "another configuration is held under that number", str(reply.conflicting)
+            )
+            log.warning("A configuration is refused.", sent=str(id), **conflict.fields())
+            return 409, encode_json(conflict.fields()), JSON
         return reply.status, b"", None
 
-    async def get_config(self, request, _):
-        reply = await self.process.call(events.ReadRequested)
+    async def get_configuration(self, request: BaseRequest, _: str) -> HttpAnswer:
+        """GET /-/config: the newest configuration, as the operator sent it."""
+        reply = await self.process.call(ReadRequested)
         return reply.status, reply.body, JSON if reply.status == 200 else None
 
-    async def evacuate(self, request, zone):
-        return await self._order(zone, True)
+    async def evacuate_zone(self, request: BaseRequest, zone: str) -> HttpAnswer:
+        """POST /-/evacuate/ZONE."""
+        return await self._set_evacuation(zone, True)
 
-    async def take_back(self, request, zone):
-        return await self._order(zone, False)
+    async def restore_zone(self, request: BaseRequest, zone: str) -> HttpAnswer:
+        """DELETE /-/evacuate/ZONE."""
+        return await self._set_evacuation(zone, False)
 
-    async def _order(self, zone, on):
-        if zone not in self.process.set.zones:
+    async def _set_evacuation(self, zone: str, evacuated: bool) -> HttpAnswer:
+        if zone not in self.process.settings.zones:
             return 404, b"", None
-        reply = await self.process.call(lambda ticket: events.EvacuationSubmitted(ticket, zone, on))
+        reply = await self.process.call(lambda ticket: EvacuationSubmitted(ticket, zone, evacuated))
         return reply.status, b"", None
 
-    async def status(self, request, _):
+    async def get_status(self, request: BaseRequest, _: str) -> HttpAnswer:
+        """GET /-/status: what this control plane knows, for operators."""
         return 200, encode_json(self.process.status()), JSON
 
     # Clients ---------------------------------------------------------------------------------------------------------
 
-    async def resolve(self, request, _):
+    async def resolve(self, request: BaseRequest, _: str) -> HttpAnswer:
+        """GET /-/resolve: addresses of gateways for a client."""
         process, now = self.process, self.process.now()
         gateways = process.registry.gateways or process.discovery.gateways(now)
         zone, region = request.query.get("zone", ""), request.query.get("region", "")
-        found = process.discovery.resolve(now, zone, region, gateways)
-        if found is None:
+        addresses = process.discovery.resolve(now, zone, region, gateways)
+        if addresses is None:
             return 503, b"", None
-        ttl = process.discovery.ttl(now, process.replica.members_heard())
-        return 200, encode_json({"addrs": found, "ttlS": ttl}), JSON
+        ttl = process.discovery.ttl(now, process.replica.voters_heard_at())
+        return 200, encode_json({"addrs": addresses, "ttlS": ttl}), JSON
 
     # Other processes of the system -----------------------------------------------------------------------------------
 
-    async def store_body(self, request, _):
-        """The bytes of a configuration from another replica; harmless when doubled."""
+    async def store_body(self, request: BaseRequest, _: str) -> HttpAnswer:
+        """The bytes of a configuration from another replica; idempotent."""
         stored = decode_body(await request.read())
-        self.process.tell(events.BodyReceived(stored.id, stored.body))
+        self.process.handle_event(BodyReceived(stored.id, stored.body))
         return 200, b"", None
 
-    async def body(self, request, _):
-        """The bytes of the configuration whose number and digest `id` names."""
-        for id, held in self.process.replica.bodies.held.items():
+    async def get_body(self, request: BaseRequest, _: str) -> HttpAnswer:
+        """The bytes of the configuration whose version and digest `id` names."""
+        for id, body in self.process.replica.bodies.bodies.items():
             if str(id) == request.query.get("id"):
-                return 200, encode(StoredBody(id, held.content)), None
+                return 200, encode(StoredBody(id, body.content)), None
         return 404, b"", None
 
-    async def gateway_configuration(self, request, _):
-        """What a gateway at `revision` with the plan `held` has to know; 503 where no majority was met of late."""
+    async def get_gateway_configuration(self, request: BaseRequest, _: str) -> HttpAnswer:
+        """What a gateway with the plan `held` has to know; 503 where no majority was in touch of late."""
         process = self.process
-        state = process.replica.served(process.now())
-        if state is None or process.plan is None:
+        state, plan = process.replica.served_state(process.now()), process.plan.plan
+        if state is None or plan is None:
             return 503, b"", None
-        wanted = process.plan if process.plan.id != request.query.get("held") else None
-        return 200, encode(ConfigurationUpdate(state.revision, wanted, state.evacuated)), None
+        newer = plan if plan.id != request.query.get("held") else None
+        return 200, encode(ConfigurationUpdate(state.revision, newer, state.evacuated_zones)), None
 
-    async def gateway_registry(self, request, _):
-        term, number = (int(part) for part in request.query.get("since", "0.0").split("."))
+    async def get_gateway_registry(self, request: BaseRequest, _: str) -> HttpAnswer:
+        """The registry since the version `since`, written TERM.NUMBER."""
+        term, number = (int(text) for text in request.query.get("since", "0.0").split("."))
         process = self.process
         return 200, encode(process.registry.since((term, number), process.now())), None
--- a/fernyard/cluster/control_plane/configuration.py
+++ b/fernyard/cluster/control_plane/configuration.py
@@ -1,4 +1,7 @@
-"""The operator's configuration: read and checked with pyserde, and turned into the plan that gateways follow."""
+"""The operator's configuration: read and checked with pyserde, and turned into the plan that gateways follow.
+
+The fields of the classes below are those of the operators' pages (PROTOCOL); times are seconds.
+"""
 
 import re
 
@@ -12,11 +15,13 @@
 
 KINDS = ("idempotent", "mutating", "egress")
 VERSION = re.compile("[0-9a-fA-F]{8}")
-LARGEST = 2.0**53  # of all numbers: whole ones are exact up to here, in JSON as in a double
+MAX_NUMBER = 2.0**53  # of all numbers: whole ones are exact up to here, in JSON as in a double
 
 
 @serde(rename_all="camelcase")
 class Svc:
+    """A service. `cold_s`, `cold_rate_s`: its workers' slow start."""
+
     name: str
     health_path: str = "/healthz"
     max_conns: int = 100
@@ -26,6 +31,8 @@
 
 @serde(rename_all="camelcase")
 class Caps:
+    """Bounds on what a client may send, in bytes, and on how long it may take."""
+
     header_bytes: int = 16384
     body_bytes: int = 1 << 26
     header_timeout_s: float = 3.0
@@ -34,6 +41,8 @@
 
 @serde(rename_all="camelcase")
 class Account:
+    """A tenant, its keys and its quota."""
+
     name: str
     apikeys: list[str] = field(default_factory=list)
     prio: int | None = None
@@ -44,12 +53,16 @@
 
 @serde(rename_all="camelcase")
 class Share:
+    """The weight of one service in the split of a route."""
+
     svc: str
     weight: float
 
 
 @serde(rename_all="camelcase")
 class Path:
+    """A route of a host: `timeout_s` for an answer, `target_s` the latency target."""
+
     name: str
     prefix: str
     kind: str
@@ -65,12 +78,16 @@
 
 @serde(rename_all="camelcase")
 class Vhost:
+    """A host and its routes."""
+
     host: str
     paths: list[Path] = field(default_factory=list)
 
 
 @serde(rename_all="camelcase")
 class Configuration:
+    """One configuration, complete."""
+
     ver: str
     svcs: list[Svc]
     vhosts: list[Vhost]
@@ -78,53 +95,59 @@
     accounts: list[Account] | None = None
 
 
-def read(body):
-    """An order of the operator (bytes of JSON) as (ConfigurationId, Configuration), checked whole; ConfigurationError says
-    what is wrong with it."""
-    id, told = parse(body)
-    _check_services(told.svcs)
-    _check_caps(told.caps)
-    _check_accounts(told.accounts or [])
-    _check_routes(told.vhosts, {service.name for service in told.svcs})
-    return id, told
+def read(body: bytes) -> tuple[ConfigurationId, Configuration]:
+    """A configuration as an operator sends it (JSON), checked completely.
 
+    Raises ConfigurationError, which says what is wrong with it.
+    """
+    id, configuration = parse(body)
+    _check_services(configuration.svcs)
+    _check_caps(configuration.caps)
+    _check_accounts(configuration.accounts or [])
+    _check_routes(configuration.vhosts, {service.name for service in configuration.svcs})
+    return id, configuration
 
-def parse(body):
+
+def parse(body: bytes) -> tuple[ConfigurationId, Configuration]:
     """The same without the checks, for a body that was acknowledged before: it stays in force, also where an earlier
     build of this program checked less."""
     try:
-        told = from_json(Configuration, _plain(body))
-    except (SerdeError, ValueError, TypeError, RecursionError, OverflowError) as why:
-        raise ConfigurationError(f"cannot be read whole: {str(why)[:200]}") from None
-    if VERSION.fullmatch(told.ver) is None:
-        raise ConfigurationError("ver is not of eight hexadecimal digits", told.ver)
-    return ConfigurationId.of(int(told.ver, 16), body), told
+        configuration: Configuration = from_json(Configuration, _json_text(body))
+    except (SerdeError, ValueError, TypeError, RecursionError, OverflowError) as error:
+        raise _unreadable(error) from error
+    if VERSION.fullmatch(configuration.ver) is None:
+        raise ConfigurationError("ver is not of eight hexadecimal digits", configuration.ver)
+    return ConfigurationId.of(int(configuration.ver, 16), body), configuration
 
 
-def _plain(body):
+def _json_text(body: bytes) -> str:
     """Text of JSON; msgspec refuses what is cut short or no JSON, whatever is lenient further on."""
     try:
         msgspec.json.decode(body, type=msgspec.Raw)
         return body.decode()
-    except (msgspec.MsgspecError, UnicodeDecodeError) as why:
-        raise ConfigurationError(f"cannot be read whole: {str(why)[:200]}") from None
+    except (msgspec.MsgspecError, UnicodeDecodeError) as error:
+        raise _unreadable(error) from error
+
 
+def _unreadable(error: Exception) -> ConfigurationError:
+    return ConfigurationError(f"cannot be read whole: {str(error)[:200]}")
 
-def _require(holds, complaint, where):
+
+def _require(holds: bool, complaint: str, where: str) -> None:
     if not holds:
         raise ConfigurationError(complaint, where)
 
 
-def _require_above_zero(field_name, value, where):
-    _require(0 < value <= LARGEST, f"{field_name} is not above 0 and finite", where)
+def _require_above_zero(field_name: str, value: float, where: str) -> None:
+    _require(0 < value <= MAX_NUMBER, f"{field_name} is not above 0 and finite", where)
 
 
-def _require_zero_or_more(field_name, value, where):
-    _require(0 <= value <= LARGEST, f"{field_name} is below 0 or not finite", where)
+def _require_zero_or_more(field_name: str, value: float, where: str) -> None:
+    _require(0 <= value <= MAX_NUMBER, f"{field_name} is below 0 or not finite", where)
 
 
-def _check_services(services):
-    names = set()
+def _check_services(services: list[Svc]) -> None:
+    names: set[str] = set()
     for service in services:
         _require(service.name not in names, "two services have this name", service.name)
         names.add(service.name)
@@ -133,15 +156,16 @@
         _require_zero_or_more("coldRateS", service.cold_rate_s, service.name)
 
 
-def _check_caps(caps):
+def _check_caps(caps: Caps) -> None:
     _require_above_zero("headerBytes", caps.header_bytes, "caps")
     _require_zero_or_more("bodyBytes", caps.body_bytes, "caps")
     _require_above_zero("headerTimeoutS", caps.header_timeout_s, "caps")
     _require_above_zero("idleTimeoutS", caps.idle_timeout_s, "caps")
 
 
-def _check_accounts(accounts):
-    names, owners = set(), {}
+def _check_accounts(accounts: list[Account]) -> None:
+    names: set[str] = set()
+    owners: dict[str, str] = {}
     for account in accounts:
         _require(account.name not in names, "two accounts have this name", account.name)
         names.add(account.name)
@@ -151,72 +175,71 @@
             _require_zero_or_more("prio", account.prio, account.name)
         for key in account.apikeys:
             _require(key != "", "a key is empty", account.name)
-            # The key itself is a secret: the complaint names its two holders.
+            # The key itself is a secret: the complaint names its two owners.
             owner = owners.setdefault(key, account.name)
             _require(owner == account.name, f"one of its keys is also a key of {owner}", account.name)
 
 
-def _check_routes(vhosts, known):
-    places = set()
+def _check_routes(vhosts: list[Vhost], services: set[str]) -> None:
+    seen: set[tuple[str, str]] = set()
     for vhost in vhosts:
         for path in vhost.paths:
-            place = (vhost.host.lower(), path.prefix)
-            _require(place not in places, f"another route has the host and prefix {path.prefix}", path.name)
-            places.add(place)
-            _check_route(path, known)
+            host_and_prefix = (vhost.host.lower(), path.prefix)
+            _require(host_and_prefix not in seen, f"another route has the host and prefix {path.prefix}", path.name)
+            seen.add(host_and_prefix)
+            _check_route(path, services)
 
 
-def _check_route(path, known):
+def _check_route(path: Path, services: set[str]) -> None:
     _require(path.prefix.startswith("/"), "prefix does not begin with a slash", path.name)
     _require(path.kind in KINDS, f"kind is none of {', '.join(KINDS)}", path.name)
     _require_above_zero("timeoutS", path.timeout_s, path.name)
     _require_above_zero("targetS", path.target_s, path.name)
     _require_above_zero("tries", path.tries, path.name)
     _require_zero_or_more("prio", path.prio, path.name)
-    _require(path.svc is not None or path.split, "neither svc nor split", path.name)
+    _require(path.svc is not None or bool(path.split), "neither svc nor split", path.name)
     if path.split:
         _check_weights([share.weight for share in path.split], path.name)
     for named in ([path.svc] if path.svc is not None else []) + [share.svc for share in path.split]:
-        _require(named in known, f"names an unknown service {named}", path.name)
+        _require(named in services, f"names an unknown service {named}", path.name)
 
 
-def _check_weights(weights, where):
+def _check_weights(weights: list[float], where: str) -> None:
     for weight in weights:
-        _require(0 <= weight <= LARGEST, "a weight is below 0 or not finite", where)
+        _require(0 <= weight <= MAX_NUMBER, "a weight is below 0 or not finite", where)
     _require(sum(weights) > 0, "all weights are 0", where)
 
 
-def plan_of(id, told):
-    """What gateways need of a configuration; of routes in one place the last stands."""
-    accounts = told.accounts or []
-    hosts = {}
-    for vhost in told.vhosts:
-        routes = hosts.setdefault(vhost.host.lower(), [])
-        for path in vhost.paths:
-            split = [(share.svc, share.weight) for share in path.split] or [(path.svc, 1.0)]
-            routes.append(
-                Route(
-                    path.name,
-                    path.prefix,
-                    path.kind,
-                    path.timeout_s,
-                    path.target_s,
-                    path.prio,
-                    split,
-                    max(1, path.tries),
-                    path.public,
-                    path.home_regions,
-                )
-            )
+def plan_of(id: ConfigurationId, configuration: Configuration) -> Plan:
+    """What gateways need of a configuration."""
+    accounts = configuration.accounts or []
+    hosts: dict[str, list[Route]] = {}
+    for vhost in configuration.vhosts:
+        hosts.setdefault(vhost.host.lower(), []).extend(_route(path) for path in vhost.paths)
     return Plan(
         id=str(id),
-        services=[Service(s.name, s.cold_s, s.cold_rate_s, s.max_conns) for s in told.svcs],
+        services=[Service(svc.name, svc.cold_s, svc.cold_rate_s, svc.max_conns) for svc in configuration.svcs],
         hosts=hosts,
         tenants=[Tenant(a.name, a.prio, a.rate_per_s, a.burst_max, a.home_regions) for a in accounts],
-        keys={key: number for number, account in enumerate(accounts) for key in account.apikeys},
-        keyed=told.accounts is not None,
-        header_bytes=told.caps.header_bytes,
-        body_bytes=told.caps.body_bytes,
-        header_timeout=told.caps.header_timeout_s,
-        idle_timeout=told.caps.idle_timeout_s,
+        keys={key: index for index, account in enumerate(accounts) for key in account.apikeys},
+        keyed=configuration.accounts is not None,
+        header_bytes=configuration.caps.header_bytes,
+        body_bytes=configuration.caps.body_bytes,
+        header_timeout=configuration.caps.header_timeout_s,
+        idle_timeout=configuration.caps.idle_timeout_s,
+    )
+
+
+def _route(path: Path) -> Route:
+    return Route(
+        name=path.name,
+        prefix=path.prefix,
+        kind=path.kind,
+        timeout=path.timeout_s,
+        target=path.target_s,
+        prio=path.prio,
+        split=[(share.svc, share.weight) for share in path.split] or [(path.svc or "", 1.0)],
+        tries=max(1, path.tries),
+        public=path.public,
+        homes=path.home_regions,
     )
--- a/fernyard/cluster/control_plane/events.py
+++ b/fernyard/cluster/control_plane/events.py
@@ -1,119 +1,77 @@
-"""What a replica is told and what it orders. Times are seconds of the machine's steady clock; a `ticket` numbers one call of
-an operator."""
+"""Events: what a `Replica` is told. Each is one immutable value that `Replica.step` takes.
 
-import attrs
+Times are seconds of the machine's steady clock. A `ticket` numbers one call of an operator at this process.
+"""
 
+import msgspec
+
+from .messages import ReplicaMessage
 from .state import ConfigurationId
 
 
-@attrs.define
-class ConfigurationSubmitted:
-    """A valid configuration came."""
+class Event(msgspec.Struct, frozen=True):
+    """Base of all events."""
+
+
+class ConfigurationSubmitted(Event, frozen=True):
+    """An operator sent a valid configuration; `body` holds its bytes as they came."""
 
     ticket: int
     id: ConfigurationId
     body: bytes
 
 
-@attrs.define
-class EvacuationSubmitted:
+class EvacuationSubmitted(Event, frozen=True):
+    """An operator evacuates a zone (`evacuated` is true) or takes it back."""
+
     ticket: int
     zone: str
-    on: bool
+    evacuated: bool
 
 
-@attrs.define
-class ReadRequested:
+class ReadRequested(Event, frozen=True):
+    """An operator asks for the newest configuration."""
+
     ticket: int
 
 
-@attrs.define
-class CallExpired:
-    """The caller waits no longer: it is told that its order may or may not be in force."""
+class CallExpired(Event, frozen=True):
+    """The caller waits no longer; it is answered 503, and its change may or may not come into force."""
 
     ticket: int
 
 
-@attrs.define
-class AreaStored:
-    """The disk kept an area, or refused."""
+class AreaStored(Event, frozen=True):
+    """The disk has stored an area durably, or failed to (`succeeded` is false)."""
 
     area: str
-    kept: bool
+    succeeded: bool
 
 
-@attrs.define
-class BodyReceived:
-    """The bytes of a configuration came from another replica."""
+class BodyReceived(Event, frozen=True):
+    """Another replica sent the bytes of a configuration."""
 
     id: ConfigurationId
     body: bytes
 
 
-@attrs.define
-class LeaseChanged:
-    """Whether this process holds the lease now. `above`: the highest term that anything heard of bears."""
+class LeaseChanged(Event, frozen=True):
+    """Whether this process holds the lease now. `highest_term`: the highest term that any received message bears."""
 
     held: bool
-    above: int
+    highest_term: int
 
 
-@attrs.define
-class ShutdownRequested:
-    """The process is about to stop."""
+class ShutdownRequested(Event, frozen=True):
+    """The process is about to stop and hands over its vote."""
 
 
-@attrs.define
-class Tick:
+class Tick(Event, frozen=True):
     """Some time has passed."""
 
 
-@attrs.define
-class StoreArea:
-    area: str
-    content: bytes
-
-
-@attrs.define
-class EraseArea:
-    area: str
-
-
-@attrs.define
-class SendMessage:
-    """`message` to the replica at that ip."""
-
-    ip: str
-    message: object
-
-
-@attrs.define
-class PushBody:
-    """The bytes of a configuration to the disk of the replica at that ip."""
-
-    ip: str
-    id: ConfigurationId
-    body: bytes
-
-
-@attrs.define
-class FetchBody:
-    """Ask the replica at that ip for the bytes of a configuration."""
+class MessageReceived(Event, frozen=True):
+    """A datagram came from the replica at `ip`."""
 
     ip: str
-    id: ConfigurationId
-
-
-@attrs.define
-class CompleteCall:
-    """To the caller of that ticket. `taken`: what is held under the number that it wanted, with status 409."""
-
-    ticket: int
-    status: int
-    body: bytes = b""
-    taken: ConfigurationId | None = None
-
-
-@attrs.define
-class PublishState:
-    """A newer state is decided here and its configuration is at hand."""
+    message: ReplicaMessage
--- a/fernyard/cluster/control_plane/membership.py
+++ b/fernyard/cluster/control_plane/membership.py
@@ -1,64 +1,87 @@
-"""Which change of the members is due. Free of I/O.
+"""Which change of the members is due. Free of I/O; times are seconds.
 
-The number of those that vote stays what the losses to be borne need: a member that is gone for good, that came back with an
-empty disk or that is leaving is replaced by one that holds all that is agreed and waits. Each change is decided like any
+The number of voters stays what the losses to be survived need: a member that is gone for good, that came back with an empty
+disk or that is shutting down is replaced by a replica that has all that is decided and waits. Each change is decided like any
 other, in two steps, one at a time.
 """
 
-from .state import ReplaceMember
+import attrs
 
-SILENT = 1.5  # seconds without a heartbeat after which a member is replaced, where one waits
+from .peer_table import Peer, PeerTable
+from .state import ControlState, Member, ReplaceMember
 
+MEMBER_TIMEOUT = 1.5  # without a heartbeat, after which a member is replaced, where a replica waits
 
-def due_change(now, contacts, own, state, faults, since, leaving=False):
-    """The change to propose now, or None.
+
+@attrs.frozen
+class MembershipView:
+    """What the decision rests on.
 
     `own`: our Member; `state`: the newest decided, under whose term we act; `faults`: machines that may be lost at once;
-    `since`: when we began to act; `leaving`: we are about to stop."""
+    `since`: when we began to act; `draining`: we are shutting down.
+    """
+
+    now: float
+    peers: PeerTable
+    own: Member
+    state: ControlState
+    faults: int
+    since: float
+    draining: bool = False
+
+    def fresh_voting_peers(self) -> list[Peer]:
+        """Peers that are there and have a vote on disk."""
+        return [peer for peer in self.peers.fresh(self.now) if peer.heartbeat.votes]
+
+    def silent_for(self, member: Member) -> float:
+        """Seconds since that member was in touch."""
+        return self.peers.silent_for(self.now, member, self.since)
+
+
+def due_change(view: MembershipView) -> ReplaceMember | None:
+    """The change to propose now, or None."""
+    state = view.state
     if state.previous:
         return None  # the one under way is finished first
-    spare = _spare(now, contacts, state)
+    spare = _spare(view)
     if spare is None:
         return None
-    leaver = _leaver(now, contacts, own, state, since, leaving)
-    if leaver is None and len(state.voters) > 2 * faults:
+    removed = _member_to_replace(view)
+    if removed is None and len(state.voters) > 2 * view.faults:
         return None
-    change = ReplaceMember(state.epoch, state.term, leaver, spare)
+    change = ReplaceMember(state.epoch, state.term, removed, spare)
     # A majority of both groups has to be there, or the change would only be begun.
-    return change if change.apply(state).has_quorum(_present(now, contacts, own)) else None
-
-
-def _present(now, contacts, own):
-    return {own, *(peer.member for peer in contacts.fresh(now) if peer.heartbeat.votes)}
+    present = {view.own, *(peer.member for peer in view.fresh_voting_peers())}
+    return change if change.apply(state).has_quorum(present) else None
 
 
-def _spare(now, contacts, state):
-    """One that does not vote and holds what is decided on its disk; the one on a voter's machine first."""
+def _spare(view: MembershipView) -> Member | None:
+    """A replica that does not vote and has what is decided on its disk; one on a voter's machine comes first."""
     ready = [
         peer.member
-        for peer in contacts.fresh(now)
-        if peer.heartbeat.votes
-        and peer.heartbeat.ready
-        and not peer.heartbeat.leaving
-        and peer.heartbeat.revision == state.revision
-        and peer.member not in state.voters
+        for peer in view.fresh_voting_peers()
+        if peer.heartbeat.ready
+        and not peer.heartbeat.draining
+        and peer.heartbeat.revision == view.state.revision
+        and peer.member not in view.state.voters
     ]
-    ips = {voter.ip for voter in state.voters}
-    return min(ready, key=lambda member: (member.ip not in ips, member), default=None)
+    voter_ips = {voter.ip for voter in view.state.voters}
+    return min(ready, key=lambda member: (member.ip not in voter_ips, member), default=None)
 
 
-def _leaver(now, contacts, own, state, since, leaving):
-    """The voter that is to be replaced: its disk is gone, it says that it leaves, or it is silent."""
-    present = {peer.member.ip: peer for peer in contacts.fresh(now)}
-    others = [voter for voter in state.voters if voter != own]
+def _member_to_replace(view: MembershipView) -> Member | None:
+    """The voter that is to be replaced: its disk is gone, it is shutting down, or it timed out."""
+    own = view.own
+    present = {peer.member.ip: peer for peer in view.peers.fresh(view.now)}
+    others = [voter for voter in view.state.voters if voter != own]
     for voter in others:
         peer = present.get(voter.ip)
         if voter.ip == own.ip or peer is not None and peer.member != voter:
             return voter
     for voter in others:
-        if voter.ip in present and present[voter.ip].heartbeat.leaving:
+        if voter.ip in present and present[voter.ip].heartbeat.draining:
             return voter
-    silent = [voter for voter in others if contacts.silence(now, voter, since) > SILENT]
-    if silent:
-        return max(silent, key=lambda voter: contacts.silence(now, voter, since))
-    return own if leaving and own in state.voters else None
+    timed_out = [voter for voter in others if view.silent_for(voter) > MEMBER_TIMEOUT]
+    if timed_out:
+        return max(timed_out, key=view.silent_for)
+    return own if view.draining and own in view.state.voters else None
--- /dev/null
+++ b/fernyard/cluster/control_plane/operator_calls.py
@@ -0,0 +1,186 @@
+"""The calls of operators that wait at one replica, and the changes that other replicas forward to it. Free of I/O; times are
+seconds.
+
+A change goes to the lease holder, where there is one, so that proposals don't collide; if that doesn't get it decided, it is
+proposed here as well.
+"""
+
+import attrs
+
+from .bodies import BodyCache
+from .commands import CompleteCall, PushBody
+from .events import CallExpired, ConfigurationSubmitted, EvacuationSubmitted, ReadRequested
+from .leadership import Leadership
+from .learner import Learner
+from .messages import ForwardedChange, ForwardedChangeResult
+from .peer_table import PeerTable
+from .proposer import CHANGE_TIMEOUT, ChangeKey, Outcome, Proposer
+from .replica_context import ReplicaContext
+from .state import AnyChange, ConfigurationId, SetConfiguration, SetEvacuation, VersionConflictError
+
+FORWARD_TIMEOUT = 0.5  # until a forwarded change is proposed here as well
+FORWARDED_WITHIN = 2.0  # a change that was forwarded to us longer ago is not proposed any more
+CALL_TIMEOUT = 1.0  # that a caller waits at most: an older call is not begun any more
+
+
+class CallKey(ChangeKey, frozen=True):
+    """Names the change of a call at this replica."""
+
+    ticket: int
+
+
+class ForwardedKey(ChangeKey, frozen=True):
+    """Names a change that the replica at `ip` forwarded; `key` is its own."""
+
+    ip: str
+    incarnation: int
+    key: int
+
+
+@attrs.define
+class Call:
+    """An operator's call that waits. `change` is None for a read; `proposed`: here, not only at the lease holder."""
+
+    since: float
+    change: SetConfiguration | SetEvacuation | None = None
+    asked_at: float = 0.0
+    proposed: bool = False
+
+
+class OperatorCalls:
+    """Calls that wait, by ticket."""
+
+    def __init__(
+        self,
+        context: ReplicaContext,
+        proposer: Proposer,
+        learner: Learner,
+        leadership: Leadership,
+        peers: PeerTable,
+        bodies: BodyCache,
+    ) -> None:
+        self.context, self.proposer, self.learner = context, proposer, learner
+        self.leadership, self.peers, self.bodies = leadership, peers, bodies
+        self.pending: dict[int, Call] = {}
+
+    # Calls begin and end ---------------------------------------------------------------------------------------------
+
+    def submit_configuration(self, event: ConfigurationSubmitted) -> None:
+        """Offers the bytes to all voters, and has the change decided."""
+        context = self.context
+        self.bodies.add(context.now, event.id, event.body)
+        state = self.learner.state
+        for member in state.electorate if state is not None else ():
+            if member.ip != context.settings.ip:
+                context.execute(PushBody(member.ip, event.id, event.body))
+        self._begin(event.ticket, SetConfiguration(event.id))
+
+    def submit_evacuation(self, event: EvacuationSubmitted, was_suspended: bool) -> None:
+        """Has an evacuation decided.
+
+        One that came while the process was suspended may have been followed by a later one elsewhere, and gets no clear
+        answer. Configurations have versions and need no such care.
+        """
+        if was_suspended:
+            self.context.execute(CompleteCall(event.ticket, 503))
+            return
+        self._begin(event.ticket, SetEvacuation(event.zone, event.evacuated))
+
+    def read(self, event: ReadRequested) -> None:
+        """A read waits until a majority confirms that nothing newer is decided."""
+        self.pending[event.ticket] = Call(self.context.now)
+
+    def expire(self, event: CallExpired) -> None:
+        """The caller waits no longer."""
+        if self.pending.pop(event.ticket, None) is not None:
+            self.context.execute(CompleteCall(event.ticket, 503))
+
+    def complete(self, ticket: int, conflicting: ConfigurationId | None) -> None:
+        """The change of that call is decided, or `conflicting` is stored under its version."""
+        if self.pending.pop(ticket, None) is None:
+            return
+        status = 200 if conflicting is None else 409
+        self.context.execute(CompleteCall(ticket, status, conflicting=conflicting))
+
+    def lease_holder(self) -> str | None:
+        """The ip of another replica that holds the lease; None: there is none, or it is held here."""
+        return None if self.leadership.is_leader() else self.peers.lease_holder(self.context.now)
+
+    def _begin(self, ticket: int, change: SetConfiguration | SetEvacuation) -> None:
+        context = self.context
+        call = self.pending[ticket] = Call(context.now, change)
+        holder = self.lease_holder()
+        if holder is None:
+            self._propose_call(ticket, call, change)
+            return
+        heartbeat = self.peers.peers[holder].heartbeat
+        forwarded = ForwardedChange(ticket, context.incarnation, change, heartbeat.incarnation, heartbeat.sequence)
+        context.send(holder, forwarded)
+
+    def _propose_call(self, ticket: int, call: Call, change: AnyChange) -> None:
+        call.proposed = True
+        self._propose(CallKey(ticket), change)
+
+    def _propose(self, key: ChangeKey, change: AnyChange) -> None:
+        """An evacuation that comes into force late might undo a later one; a configuration has a version and can't."""
+        timeout = CALL_TIMEOUT if isinstance(change, SetEvacuation) else CHANGE_TIMEOUT
+        self.proposer.submit(self.context.now, key, change, timeout)
+
+    # Forwarded changes -----------------------------------------------------------------------------------------------
+
+    def on_forwarded(self, ip: str, message: ForwardedChange) -> None:
+        """Another replica forwards a change to us, as the lease holder."""
+        context = self.context
+        if self.peers.was_sent_within(
+            context.now, FORWARDED_WITHIN, message.acknowledged_incarnation, message.acknowledged
+        ):
+            self._propose(ForwardedKey(ip, message.incarnation, message.key), message.change)
+
+    def on_forwarded_result(self, message: ForwardedChangeResult) -> None:
+        """The lease holder tells what became of a change that we forwarded."""
+        if message.incarnation == self.context.incarnation:
+            self.complete(message.key, message.conflicting)
+
+    def on_outcome(self, outcome: Outcome) -> None:
+        """A change that was proposed here is decided or rejected."""
+        rejection = outcome.rejection
+        conflicting = rejection.conflicting if isinstance(rejection, VersionConflictError) else None
+        match outcome.key:
+            case CallKey(ticket):
+                self.complete(ticket, conflicting)
+            case ForwardedKey(ip, incarnation, key):
+                self.context.send(ip, ForwardedChangeResult(key, incarnation, conflicting))
+
+    # What waits ------------------------------------------------------------------------------------------------------
+
+    def has_slow_read(self, patience: float) -> bool:
+        """Has a read waited longer than that?"""
+        now = self.context.now
+        return any(call.change is None and now - call.since > patience for call in self.pending.values())
+
+    def waiting_reads(self) -> list[tuple[int, Call]]:
+        """(ticket, call) of each read that waits."""
+        return [(ticket, call) for ticket, call in self.pending.items() if call.change is None]
+
+    def follow_up(self, ticket: int, call: Call) -> None:
+        """Completes a change that was decided elsewhere; proposes one that the lease holder did not get decided."""
+        change, waited = call.change, self.context.now - call.since
+        if isinstance(change, SetConfiguration) and self.learner.was_decided(change.id):
+            self.complete(ticket, None)
+        elif change is not None and not call.proposed and FORWARD_TIMEOUT <= waited < CALL_TIMEOUT:
+            self._propose_call(ticket, call, change)
+
+    def complete_read(self, ticket: int) -> None:
+        """Answers a read with the configuration in force."""
+        del self.pending[ticket]
+        state = self.learner.state
+        body = self.bodies.content(state.configuration) if state is not None else None
+        self.context.execute(CompleteCall(ticket, 200, body) if body else CompleteCall(ticket, 404))
+
+    def referenced_configurations(self) -> set[ConfigurationId]:
+        """Configurations that a call here or a pending change may still put into force."""
+        changes = [
+            *(call.change for call in self.pending.values()),
+            *(pending.change for pending in self.proposer.pending),
+        ]
+        return {change.id for change in changes if isinstance(change, SetConfiguration)}
--- a/fernyard/cluster/control_plane/proposer.py
+++ b/fernyard/cluster/control_plane/proposer.py
@@ -1,173 +1,221 @@
-"""One proposer of the control state: it asks a majority what they hold, applies the changes that wait to the newest of that,
-and asks a majority to accept the result. Free of I/O. Nothing here depends on a clock for safety: times only say when to
-ask again and when to give a round up.
+"""One proposer of the control state.
+
+It asks a majority what they have accepted (phase 1), applies the pending changes to the newest of that, and asks a majority to
+accept the result (phase 2). Free of I/O. Nothing here depends on a clock for safety: times, in seconds, only say when to ask
+again and when to give a round up.
 """
 
+from collections.abc import Collection
+from random import Random
+from typing import NamedTuple
+
 import attrs
+import msgspec
 
 from ...accord.acceptor import newest
-from .legacy import merge_unballoted
-from .messages import Accept, Prepare
-from .state import ChangeRejectedError, ProposalNumber
+from .legacy import merge_unnumbered
+from .messages import Accept, Accepted, Prepare, Promise, Refusal
+from .state import AnyChange, ChangeRejectedError, ControlState, Member, ProposalNumber
+
+RESEND_INTERVAL = 0.2  # until voters that did not answer are asked again
+ROUND_TIMEOUT = 1.2  # after which a round is given up
+MIN_BACKOFF, MAX_BACKOFF = 0.03, 0.5  # after a failed round, randomized, doubling
+CHANGE_TIMEOUT = 3.0  # after which a change that found no majority is dropped
+MAX_PENDING = 64
+
+
+class ChangeKey(msgspec.Struct, frozen=True):
+    """Base of keys that name a change to whoever submitted it. Keys of different classes are never equal."""
+
+
+class NumberedState(NamedTuple):
+    """A state and the proposal number under which it was accepted or decided."""
+
+    proposal_number: ProposalNumber
+    state: ControlState
+
 
-ASK_AGAIN = 0.2  # seconds until voters that did not answer are asked again
-ROUND = 1.2  # seconds after which a round is given up
-PAUSE, LONGEST_PAUSE = 0.03, 0.5  # after a refused round, drawn by chance up to it, doubling
-PATIENCE = 3.0  # seconds after which a change that found no majority is dropped
-MOST_PENDING = 64
+class Multicast(NamedTuple):
+    """A message to several members."""
+
+    members: Collection[Member]
+    message: Prepare | Accept
 
 
 @attrs.define
-class Pending:
-    """A change that waits to be decided, until `until` at most. `key` names it to whoever submitted it."""
+class PendingChange:
+    """A change that waits to be decided, until `deadline` at most."""
 
-    key: object
-    change: object
-    until: float
+    key: ChangeKey
+    change: AnyChange
+    deadline: float
 
 
 @attrs.define
 class Outcome:
-    """What became of a change: decided, or rejected by the state that it met (`rejection`)."""
+    """What became of a change: decided, or rejected by the state to which it was applied (`rejection`)."""
 
-    key: object
+    key: ChangeKey
     rejection: ChangeRejectedError | None = None
 
 
 @attrs.define
 class Decided:
-    """`state` was decided under `ballot` in a round that began at `at`."""
+    """A majority accepted `state` in a round that began at `began_at`."""
 
-    ballot: ProposalNumber
-    state: object
-    at: float
+    proposal_number: ProposalNumber
+    state: ControlState
+    began_at: float
     outcomes: list[Outcome]
 
 
+class AcceptedBefore(NamedTuple):
+    """What a voter had accepted when it promised; None: nothing."""
+
+    proposal_number: ProposalNumber | None
+    state: ControlState | None
+
+
 @attrs.define
 class Round:
-    """One try. `base`: the newest (ballot, state) that was known before; `known`: that or what a voter told, whose
-    electorate is asked; `state`: what was proposed, None until a majority promised."""
+    """One attempt.
 
-    ballot: ProposalNumber
-    at: float
-    base: tuple
-    known: tuple
+    `base`: the newest state that was known before; `known`: that or what a voter promised with, whose electorate is asked;
+    `proposed`: what voters are asked to accept, None until a majority has promised.
+    """
+
+    proposal_number: ProposalNumber
+    began_at: float
+    base: NumberedState
+    known: NumberedState
     resend_at: float
-    promises: dict = attrs.Factory(dict)
-    state: object = None
-    accepted: set = attrs.Factory(set)
-    outcomes: list = attrs.Factory(list)
+    promises: dict[Member, AcceptedBefore] = attrs.Factory(dict)
+    proposed: ControlState | None = None
+    accepted: set[Member] = attrs.Factory(set)
+    outcomes: list[Outcome] = attrs.Factory(list)
 
 
 class Proposer:
-    def __init__(self, incarnation, random):
+    """Proposes pending changes, several in one round, one round at a time."""
+
+    def __init__(self, incarnation: int, random: Random) -> None:
         """`incarnation`: a number that no other run of any process has."""
         self.incarnation, self.random = incarnation, random
-        self.highest, self.round, self.pending = 0, None, []
-        self.pause, self.retry_at = PAUSE, 0.0
+        self.highest_round = 0
+        self.round: Round | None = None
+        self.pending: list[PendingChange] = []
+        self.backoff, self.retry_at = MIN_BACKOFF, 0.0
         self.decided_epoch = 0  # the last change of members that is known to be decided
 
-    def submit(self, now, key, change, patience=PATIENCE):
-        """Adds a change; one with a key that waits already changes nothing. False where too many wait."""
+    def submit(self, now: float, key: ChangeKey, change: AnyChange, timeout: float = CHANGE_TIMEOUT) -> bool:
+        """Adds a change, unless one with that key is pending already; false where too many are pending."""
         if any(pending.key == key for pending in self.pending):
             return True
-        if len(self.pending) >= MOST_PENDING:
+        if len(self.pending) >= MAX_PENDING:
             return False
-        self.pending.append(Pending(key, change, now + patience))
+        self.pending.append(PendingChange(key, change, now + timeout))
         return True
 
-    def withdraw(self, key):
-        """That change is not needed any more, or another proposes the like."""
+    def withdraw(self, key: ChangeKey) -> None:
+        """That change is not needed any more, or another proposer proposes the like."""
         self.pending = [pending for pending in self.pending if pending.key != key]
 
-    def heard_of(self, ballot):
-        """Another's ballot: ours must be higher."""
-        if ballot is not None:
-            self.highest = max(self.highest, ballot.round)
+    def observe(self, proposal_number: ProposalNumber | None) -> None:
+        """Another's proposal number was seen: ours must be higher."""
+        if proposal_number is not None:
+            self.highest_round = max(self.highest_round, proposal_number.round)
 
-    def expire(self, now):
-        """Gives up what is too old; to be called before anything that came is looked at, as the process may have stood
-        still meanwhile."""
-        self.pending = [pending for pending in self.pending if now < pending.until]
-        if self.round is not None and now - self.round.at > ROUND:
+    def expire(self, now: float) -> None:
+        """Gives up what is too old. To be called before anything that came is looked at, as the process may have been
+        suspended meanwhile."""
+        self.pending = [pending for pending in self.pending if now < pending.deadline]
+        if self.round is not None and now - self.round.began_at > ROUND_TIMEOUT:
             self._fail(now)
 
-    def due(self, now, known):
-        """(members, message) pairs to send now. `known`: the newest (ballot, state) known here, or None."""
+    def due(self, now: float, known: NumberedState | None) -> list[Multicast]:
+        """What to send now. `known`: the newest state known here, or None."""
         if self.round is not None:
-            return self._resend(now)
+            return self._resend(now, self.round)
         if not self.pending or now < self.retry_at or known is None:
             return []
-        self.highest += 1
-        self.round = Round(ProposalNumber(self.highest, self.incarnation), now, known, known, now + ASK_AGAIN)
-        return [(known[1].electorate, Prepare(self.round.ballot))]
+        self.highest_round += 1
+        number = ProposalNumber(self.highest_round, self.incarnation)
+        self.round = Round(number, now, known, known, now + RESEND_INTERVAL)
+        return [Multicast(known.state.electorate, Prepare(number))]
 
-    def _resend(self, now):
-        current = self.round
+    @staticmethod
+    def _resend(now: float, current: Round) -> list[Multicast]:
         if now < current.resend_at:
             return []
-        current.resend_at = now + ASK_AGAIN
-        if current.state is None:
-            silent = [member for member in current.known[1].electorate if member not in current.promises]
-            return [(silent, Prepare(current.ballot))]
-        silent = [member for member in current.state.electorate if member not in current.accepted]
-        return [(silent, Accept(current.ballot, current.state))]
-
-    def promised(self, message):
-        """A voter promised. Once a majority has, the messages that propose what follows."""
+        current.resend_at = now + RESEND_INTERVAL
+        if current.proposed is None:
+            missing = [member for member in current.known.state.electorate if member not in current.promises]
+            return [Multicast(missing, Prepare(current.proposal_number))]
+        missing = [member for member in current.proposed.electorate if member not in current.accepted]
+        return [Multicast(missing, Accept(current.proposal_number, current.proposed))]
+
+    def promised(self, message: Promise) -> list[Multicast]:
+        """A voter promised. Once a majority has, the result asks voters to accept what follows."""
         current = self.round
-        if current is None or message.ballot != current.ballot or current.state is not None:
+        if current is None or message.proposal_number != current.proposal_number or current.proposed is not None:
             return []
-        current.promises[message.member] = (message.accepted, message.state)
-        before, current.known = current.known[1], self._newest(current)
-        state = current.known[1]
+        current.promises[message.member] = AcceptedBefore(message.accepted, message.state)
+        asked, current.known = current.known.state, self._newest(current)
+        state = current.known.state
         if not state.has_quorum(current.promises, self.decided_epoch):
             # Where the members are others than we knew, theirs is the majority that counts, and they are asked as well.
-            new = [member for member in state.electorate if member not in before.electorate]
-            return [(new, Prepare(current.ballot))] if new else []
+            new_members = [member for member in state.electorate if member not in asked.electorate]
+            return [Multicast(new_members, Prepare(current.proposal_number))] if new_members else []
         return self._propose(current, state)
 
-    def _newest(self, current):
-        held = [promise for promise in (*current.promises.values(), current.base) if promise[0] is not None]
-        ballot, state = newest(held)
-        if ballot.round == 0:
-            # Nothing was ever decided by ballots: what the disks hold is from before the first round.
-            return ballot, merge_unballoted([state for _, state in held])
-        return ballot, state
-
-    def _propose(self, current, state):
+    @staticmethod
+    def _newest(current: Round) -> NumberedState:
+        """The newest state of those that voters had accepted and that was known before."""
+        accepted = [
+            NumberedState(number, state)
+            for number, state in current.promises.values()
+            if number is not None and state is not None
+        ]
+        accepted.append(current.base)
+        proposal_number, state = newest(accepted)
+        if proposal_number.round == 0:
+            # Nothing was ever decided under a proposal number: what the disks hold is from before the first round.
+            return NumberedState(proposal_number, merge_unnumbered([state for _, state in accepted]))
+        return NumberedState(proposal_number, state)
+
+    def _propose(self, current: Round, state: ControlState) -> list[Multicast]:
         for pending in self.pending:
             try:
                 state = pending.change.apply(state)
                 current.outcomes.append(Outcome(pending.key))
             except ChangeRejectedError as rejection:
                 current.outcomes.append(Outcome(pending.key, rejection))
-        current.state = state
-        current.resend_at = current.at + 2 * ASK_AGAIN
-        return [(state.electorate, Accept(current.ballot, state))]
+        current.proposed = state
+        current.resend_at = current.began_at + 2 * RESEND_INTERVAL
+        return [Multicast(state.electorate, Accept(current.proposal_number, state))]
 
-    def accepted(self, message):
-        """A voter accepted. `Decided` once a majority has, else None."""
+    def accepted(self, message: Accepted) -> Decided | None:
+        """A voter accepted. `Decided` once a majority has."""
         current = self.round
-        if current is None or message.ballot != current.ballot or current.state is None:
+        if current is None or message.proposal_number != current.proposal_number or current.proposed is None:
             return None
         current.accepted.add(message.member)
-        states = current.state, current.known[1]
+        states = current.proposed, current.known.state
         if not all(state.has_quorum(current.accepted, self.decided_epoch) for state in states):
             return None
-        self.round, self.pause = None, PAUSE
-        done = {outcome.key for outcome in current.outcomes}
+        self.round, self.backoff = None, MIN_BACKOFF
+        done = [outcome.key for outcome in current.outcomes]
         self.pending = [pending for pending in self.pending if pending.key not in done]
-        return Decided(current.ballot, current.state, current.at, current.outcomes)
+        return Decided(current.proposal_number, current.proposed, current.began_at, current.outcomes)
 
-    def refused(self, now, message):
-        self.heard_of(message.promised)
-        if self.round is not None and message.ballot == self.round.ballot:
+    def refused(self, now: float, message: Refusal) -> None:
+        """A voter has promised a higher proposal number."""
+        self.observe(message.promised)
+        if self.round is not None and message.proposal_number == self.round.proposal_number:
             self._fail(now)
 
-    def _fail(self, now):
-        """Another proposes as well, or no majority answers: again after a pause of our own."""
+    def _fail(self, now: float) -> None:
+        """Another proposes as well, or no majority answers: again after a backoff of our own."""
         self.round = None
-        self.retry_at = now + self.pause * (0.5 + self.random.random())
-        self.pause = min(LONGEST_PAUSE, 2 * self.pause)
+        self.retry_at = now + self.backoff * (0.5 + self.random.random())
+        self.backoff = min(MAX_BACKOFF, 2 * self.backoff)
--- a/fernyard/cluster/control_plane/replica.py
+++ b/fernyard/cluster/control_plane/replica.py
@@ -1,633 +1,440 @@
-"""One replica of the control state. `Replica.step(now, event)` returns the orders to carry out. Free of I/O.
+"""One replica of the control state: `Replica.step(now, event)` returns the commands to execute. Free of I/O.
 
-It votes (`accord.ballots.Acceptor`), proposes the changes of its callers or has the holder of the lease carry them
-(`Proposer`), learns what is decided, and knows how long ago it met a majority (`PeerTable`). docs/control-state.md says what
-holds and why.
+A replica composes these parts, each of which can be read alone:
+
+- `Voter` promises and accepts, with its vote on disk;
+- `Proposer` has changes decided by a majority;
+- `Learner` knows what is decided, and as of when;
+- `Leadership` acts for all while this process holds the lease;
+- `OperatorCalls` are the calls that wait for a decision;
+- `PeerTable` holds the other replicas' heartbeats, `BodyCache` the bytes of configurations.
+
+The way of an operator's change: `ConfigurationSubmitted` -> `OperatorCalls.submit_configuration` (here, or forwarded to the lease
+holder) -> `Proposer.submit` -> `Prepare` / `Promise` -> `Accept` / `Accepted` -> `Learner.learn` -> `CompleteCall` and `PublishState`.
+docs/control-state.md says what holds and why. Times are seconds of the machine's steady clock.
 """
 
-from collections import deque
+from collections.abc import Collection, Iterable, Mapping, Sequence
 from random import Random
+from typing import assert_never
 
 import attrs
-import msgspec
 
-from ...accord.acceptor import Acceptor, Granted, Refused, Request, StoreVote
-from ..common.lease import LENGTH, MARGIN
-from . import events, membership
 from .bodies import BodyCache
-from .legacy import LEGACY_AREAS
+from .commands import Command, EraseArea, FetchBody, PublishState
+from .events import (
+    AreaStored,
+    BodyReceived,
+    CallExpired,
+    ConfigurationSubmitted,
+    EvacuationSubmitted,
+    Event,
+    LeaseChanged,
+    MessageReceived,
+    ReadRequested,
+    ShutdownRequested,
+    Tick,
+)
+from .leadership import DueChange, Leadership
+from .learner import SERVED_WITHIN, DecidedState, Learner
 from .messages import (
     Accept,
     Accepted,
     Decision,
     ForwardedChange,
     ForwardedChangeResult,
-    MessageReceived,
     Prepare,
     Promise,
     Refusal,
     ReplicaHeartbeat,
+    ReplicaMessage,
 )
+from .operator_calls import Call, OperatorCalls
 from .peer_table import PeerTable
-from .proposer import PATIENCE, Decided, Proposer
-from .state import (
-    NO_CONFIGURATION,
-    BeginTerm,
-    ConfigurationId,
-    Confirm,
-    ControlState,
-    FinishReplacement,
-    Member,
-    SetConfiguration,
-    SetEvacuation,
-    VersionConflictError,
-)
-
-VOTE = "vote"  # the area of the disk that holds our Vote
-SERVED_WITHIN = 1.0  # seconds since a majority was met, within which what is decided is handed out
-SETTLE_AFTER, SETTLE_STEP = 0.3, 0.15  # seconds until an unfinished decision is finished; more for each rank
-CARRIER_WITHIN = 0.7  # seconds since the heartbeat of the holder of the lease
-CARRY_WAIT = 0.5  # seconds until a change that another carries is proposed here as well
-CARRIED_WITHIN = 2.0  # seconds; a change that was given to us longer ago is not carried any more
-CALLED_WITHIN = 1.0  # seconds that a caller waits at most: an older order is not begun any more
-LEASE_TOLD_WITHIN = LENGTH - MARGIN  # seconds for which holding the lease is believed after it was told
-STOOD_STILL, AWAKE = 1.0, 0.3  # seconds without a step, and until all that came meanwhile has been worked off
-ASK_AGAIN = 0.1  # seconds until an urgent heartbeat is sent again
-MOST_SEEDS = 12
-CONFIRMATION = ("confirm",)  # the key of a change that only finishes what others began
-VOTE_AGAIN = 0.3  # after the disk refused the first vote
+from .proposer import ChangeKey, Multicast, Proposer
+from .replica_context import ReplicaContext, ReplicaSettings
+from .state import NO_CONFIGURATION, ConfigurationId, Confirm, ControlState, Member, ProposalNumber, Vote
+from .voter import VOTE_AREA, Voter
 
+FINISH_AFTER, FINISH_STAGGER = 0.3, 0.15  # until an unfinished decision is finished; more for each rank
+SUSPENDED_AFTER = 1.0  # without a step, after which the process counts as having been suspended
+RESUME_GRACE = 0.3  # until all that came while the process was suspended has been handled
+READ_RETRY = 0.1  # until an urgent heartbeat is sent again
+MAX_SEEDS = 12
+MIN_FRESH_PEERS = 2  # with fewer, the seeds are contacted as well
 
-@attrs.frozen
-class ReplicaSettings:
-    """`votes`: this machine counts and has a disk; `seeds`: ips; `faults`: machines that may be lost at once."""
 
-    node: str
-    ip: str
-    votes: bool
-    seeds: tuple
-    faults: int
+class ConfirmationKey(ChangeKey, frozen=True):
+    """Names a change that only finishes what another proposer began."""
 
 
-@attrs.define
-class Call:
-    """An operator's call that waits. `change` is None for a read."""
-
-    since: float
-    change: object = None
-    asked_at: float = 0.0
-    proposed: bool = False
-
-
-@attrs.define
-class DecidedState:
-    """A decided state: `as_of` is when it was seen to be the newest."""
-
-    ballot: object
-    state: ControlState
-    as_of: float
+CONFIRMATION = ConfirmationKey()
 
 
 class Replica:
-    def __init__(self, now, settings, incarnation, vote, bodies):
-        """`incarnation`: a number that no other run of any process has; `vote`: the Vote to begin with, from the disk or made for a
-        first start (None: this machine keeps nothing); `bodies`: {ConfigurationId: bytes} of the disk."""
-        self.settings, self.incarnation, self.now, self.began = settings, incarnation, now, now
-        self.stepped_at, self.woke_at = now, now - AWAKE
-        self.random = Random(incarnation)
-        self.first_vote, self.first_vote_at = vote, now
-        self.member = vote.member if vote is not None else Member(settings.ip, 0)
-        self.acceptor, self.vote_number, self.parked = Acceptor(None, grants_again=True), None, None
-        self.proposer = Proposer(incarnation, self.random)
-        self.contacts = PeerTable(incarnation)
+    """One replica; see the module."""
+
+    def __init__(
+        self,
+        now: float,
+        settings: ReplicaSettings,
+        incarnation: int,
+        vote: Vote | None,
+        bodies: Mapping[ConfigurationId, bytes],
+    ) -> None:
+        """`incarnation`: a number that no other run of any process has; `vote`: the vote to begin with, from the disk or made
+        for a first start (None: this machine stores nothing); `bodies`: configurations on the disk."""
+        member = vote.member if vote is not None else Member(settings.ip, 0)
+        self.context = ReplicaContext(settings, incarnation, member, now)
+        random = Random(incarnation)
+        self.proposer = Proposer(incarnation, random)
+        self.peers = PeerTable(incarnation)
         self.bodies = BodyCache(now, bodies, settings.votes)
-        self.decided, self.published, self.unsettled_at = None, None, None
-        self.calls, self.orders, self.local = {}, [], deque()
+        self.voter = Voter(self.context, vote, self.bodies)
+        self.learner = Learner(self.context, self.peers, self.proposer)
+        self.leadership = Leadership(self.context, self.peers, random)
+        self.calls = OperatorCalls(self.context, self.proposer, self.learner, self.leadership, self.peers, self.bodies)
         self.registry_version = (0, 0)
-        self.lease_told_at = now
-        self.lease_held, self.above, self.claim, self.carrying_since, self.leaving = False, 0, 0, now, False
+        self.draining = False
+        self._stepped_at, self._resumed_at = now, now - RESUME_GRACE
+        self._unfinished_since: float | None = None
         if vote is not None:
-            if vote.state is not None and vote.accepted.round == 0:
-                # A state of an earlier version: the area that held its bytes is erased once the vote is stored.
-                self.bodies.save_again(vote.state.configuration)
-            self.proposer.heard_of(vote.promised)
-            self.proposer.heard_of(vote.accepted)
-
-    # What is asked of it ---------------------------------------------------------------------------------------------
-
-    def step(self, now, event):
-        if now - self.stepped_at > STOOD_STILL:
-            self.woke_at = now
-        self.now, self.stepped_at, self.orders = now, now, []
+            self._recover(vote)
+
+    def _recover(self, vote: Vote) -> None:
+        if vote.state is not None and vote.accepted is not None and vote.accepted.round == 0:
+            # A state of an earlier build: the area that held its bytes is erased once the vote is stored.
+            self.bodies.store_again(vote.state.configuration)
+        self.proposer.observe(vote.promised)
+        self.proposer.observe(vote.accepted)
+
+    def step(self, now: float, event: Event) -> list[Command]:
+        """Handles one event; returns the commands to execute, in order."""
+        if now - self._stepped_at > SUSPENDED_AFTER:
+            self._resumed_at = now
+        self._stepped_at = now
+        self.context.begin_step(now)
         self.proposer.expire(now)
-        HANDLERS[type(event)](self, event)
+        self._handle(event)
         self._follow_up()
-        return self.orders
+        return self.context.commands
+
+    # What the process asks -------------------------------------------------------------------------------------------
+
+    @property
+    def member(self) -> Member:
+        """Who this replica is."""
+        return self.context.member
 
     @property
-    def vote(self):
+    def vote(self) -> Vote | None:
         """Our vote as it is on disk, or None."""
-        return self.acceptor.vote
+        return self.voter.vote
 
     @property
-    def state(self):
+    def decided(self) -> DecidedState | None:
+        """The newest state known to be decided, with its proposal number, or None."""
+        return self.learner.decided
+
+    @property
+    def state(self) -> ControlState | None:
         """The newest state known to be decided, or None."""
-        return self.decided.state if self.decided is not None else None
+        return self.learner.state
 
     @property
-    def is_voter(self):
-        return self.decided is not None and self.member in self.decided.state.voters
+    def is_voter(self) -> bool:
+        """Does our vote count?"""
+        return self.state is not None and self.member in self.state.voters
 
     @property
-    def confirmed_at(self):
-        """As of when a majority held nothing newer than what is decided here, or None."""
-        if self.decided is None:
-            return None
-        met = self.contacts.confirmed_at(self.now, self.vote, self.decided.ballot, self.decided.state)
-        return max(self.decided.as_of, met) if met is not None else self.decided.as_of
+    def lease_held(self) -> bool:
+        """Does the process hold the lease, as it last reported?"""
+        return self.leadership.lease_held
 
-    def contact_age(self, now):
-        """Seconds since a majority was met, or None."""
-        self.now = now
+    @property
+    def confirmed_at(self) -> float | None:
+        """As of when a majority had accepted nothing newer than what is decided here, or None."""
+        return self.learner.confirmed_at(self.vote)
+
+    def contact_age(self, now: float) -> float | None:
+        """Seconds since a majority was in touch, or None."""
+        self.context.now = now
         at = self.confirmed_at
         return now - at if at is not None else None
 
-    def served(self, now):
-        """The state that gateways may be given now: the newest decided, while a majority was met of late; else None."""
+    def served_state(self, now: float) -> ControlState | None:
+        """The state that gateways may be given now: the newest decided, while a majority was in touch of late; else None."""
         age = self.contact_age(now)
-        if age is None or age > SERVED_WITHIN or self.published != self.decided.ballot:
+        if age is None or age > SERVED_WITHIN or not self.learner.is_published():
             return None
-        return self.decided.state
-
-    @property
-    def leads(self):
-        """Is the lease held here, as was told of late? Whoever stood still holds it no more."""
-        return self.lease_held and self.now - self.lease_told_at < LEASE_TOLD_WITHIN
+        return self.state
 
-    def term(self):
+    def term(self) -> int | None:
         """The term under which this process acts for all, or None."""
-        if not self.leads or self.state is None or self.state.claim != self.claim:
-            return None
-        return self.state.term
-
-    def known_ips(self):
-        """Where the replicas are that vote or were heard of late, ours included."""
-        found = {peer.member.ip for peer in self.contacts.known(self.now)}
-        if self.decided is not None:
-            found.update(member.ip for member in self.decided.state.electorate)
-        return sorted(found | {self.settings.ip})
-
-    def ips(self):
-        """Where other replicas are or may be: the seeds as well, while hardly any other is heard."""
-        found = set(self.known_ips())
-        if self.decided is None or len(self.contacts.fresh(self.now)) < 2:
-            found.update(self.settings.seeds)
-        return sorted(found - {self.settings.ip})
-
-    def may_ask_lease(self):
-        """Does nobody else that was heard of late hold the lease? Votes taken from its holder would only be split."""
-        return self.carrier() is None
-
-    def members_heard(self):
-        """When each other member that has a vote was last heard, of those that ever were."""
+        return self.leadership.term(self.state)
+
+    def known_ips(self) -> list[str]:
+        """Where the replicas are that vote or were in touch of late, ours included."""
+        ips = {peer.member.ip for peer in self.peers.known(self.context.now)}
+        if self.state is not None:
+            ips.update(member.ip for member in self.state.electorate)
+        return sorted(ips | {self.context.settings.ip})
+
+    def other_ips(self) -> list[str]:
+        """Where other replicas are or may be: the seeds as well, while hardly any other is in touch."""
+        ips = set(self.known_ips())
+        if self.decided is None or len(self.peers.fresh(self.context.now)) < MIN_FRESH_PEERS:
+            ips.update(self.context.settings.seeds)
+        return sorted(ips - {self.context.settings.ip})
+
+    def may_request_lease(self) -> bool:
+        """Does no other replica hold the lease, as far as known? Votes taken from its holder would only be split."""
+        return self.calls.lease_holder() is None
+
+    def voters_heard_at(self) -> list[float]:
+        """When the last heartbeat of each other voter came, of those that ever sent one."""
         if self.state is None:
             return []
-        members = {member.ip for member in self.state.voters}
-        return [peer.at for peer in self.contacts.peers.values() if peer.member.ip in members]
-
-    def add_seeds(self, ips):
-        """More places where other replicas may be met."""
-        seeds = tuple(dict.fromkeys((*ips, *self.settings.seeds)))
-        self.settings = attrs.evolve(self.settings, seeds=seeds[:MOST_SEEDS])
-
-    def may_stop(self):
-        """Is all handed over, or nobody there to take it?"""
-        if self.state is None or self.member not in self.state.electorate:
+        ips = {member.ip for member in self.state.voters}
+        return [peer.received_at for peer in self.peers.peers.values() if peer.member.ip in ips]
+
+    def add_seeds(self, ips: Sequence[str]) -> None:
+        """More addresses at which other replicas may be."""
+        seeds = tuple(dict.fromkeys((*ips, *self.context.settings.seeds)))
+        self.context.settings = attrs.evolve(self.context.settings, seeds=seeds[:MAX_SEEDS])
+
+    def may_stop(self) -> bool:
+        """Is our vote handed over, or no replica there to take it?"""
+        state = self.state
+        if state is None or self.member not in state.electorate:
             return True
-        if self.state.previous:
-            return False  # a majority of those that vote no more is still needed
-        waiting = [
-            peer for peer in self.contacts.fresh(self.now) if peer.heartbeat.votes and not peer.heartbeat.leaving
-        ]
-        return all(peer.member in self.state.voters for peer in waiting)
-
-    # Calls -----------------------------------------------------------------------------------------------------------
-
-    def _put(self, event):
-        self.bodies.add(self.now, event.id, event.body)
-        if self.decided is not None:
-            for member in self.decided.state.electorate:
-                if member.ip != self.settings.ip:
-                    self.orders.append(events.PushBody(member.ip, event.id, event.body))
-        self._call(event.ticket, SetConfiguration(event.id))
-
-    def _evacuate(self, event):
-        """One that came while the process stood still may have been followed by a later one elsewhere: no clear answer.
-        Configurations have numbers and need no such care."""
-        if self.now - self.woke_at < AWAKE:
-            self.orders.append(events.CompleteCall(event.ticket, 503))
-            return
-        self._call(event.ticket, SetEvacuation(event.zone, event.on))
-
-    def _call(self, ticket, change):
-        call = self.calls[ticket] = Call(self.now, change)
-        carrier = self.carrier()
-        if carrier is None:
-            self._propose_call(ticket, call)
-        else:
-            heartbeat = self.contacts.peers[carrier].heartbeat
-            self._send(carrier, ForwardedChange(ticket, self.incarnation, change, heartbeat.incarnation, heartbeat.ask))
-
-    def _propose_call(self, ticket, call):
-        call.proposed = True
-        self._submit(("own", ticket), call.change)
-
-    def _submit(self, key, change):
-        """An evacuation that is taken late might undo a later one; a configuration has a number and can't."""
-        patience = CALLED_WITHIN if isinstance(change, SetEvacuation) else PATIENCE
-        self.proposer.submit(self.now, key, change, patience)
-
-    def carrier(self):
-        """The ip of another that holds the lease, whom changes are given to so that proposals don't meet; None: none."""
-        if self.leads:
-            return None
-        carriers = [peer for peer in self.contacts.peers.values() if peer.heartbeat.carries]
-        return next((peer.member.ip for peer in carriers if self.now - peer.at <= CARRIER_WITHIN), None)
-
-    def _read(self, event):
-        self.calls[event.ticket] = Call(self.now)
-
-    def _expired(self, event):
-        if self.calls.pop(event.ticket, None) is not None:
-            self.orders.append(events.CompleteCall(event.ticket, 503))
-
-    def _carry(self, ip, message):
-        if not self.contacts.is_answer_within(
-            self.now, CARRIED_WITHIN, message.acknowledged_incarnation, message.answers
-        ):
-            return
-        key = ("carried", ip, message.incarnation, message.key)
-        self._submit(key, message.change)
-
-    def _carried(self, ip, message):
-        if message.incarnation == self.incarnation:
-            self._answer(message.key, VersionConflictError(message.taken) if message.taken is not None else None)
-
-    def _answer(self, ticket, rejection):
-        """The order of that call is decided, or something else is held under its number."""
-        if self.calls.pop(ticket, None) is None:
-            return
-        if rejection is None:
-            self.orders.append(events.CompleteCall(ticket, 200))
-        else:
-            self.orders.append(events.CompleteCall(ticket, 409, taken=rejection.held))
-
-    # Voting ----------------------------------------------------------------------------------------------------------
-
-    def _prepare(self, ip, message):
-        self.proposer.heard_of(message.ballot)
-        self._heard_proposal(ip)
-        self._carry_out(self.acceptor.handle(Request(ip, message.ballot)))
-
-    def _accept(self, ip, message):
-        """A vote for a state is given only with its configuration on our disk, so that a majority keeps what is decided."""
-        self.proposer.heard_of(message.ballot)
-        self._heard_proposal(ip)
-        if self.bodies.is_stored(message.state.configuration):
-            self._carry_out(self.acceptor.handle(Request(ip, message.ballot, True, message.state)))
-        elif self.parked is None or self.parked[1].ballot <= message.ballot:
-            self.parked = ip, message
-
-    def _heard_proposal(self, ip):
+        if state.previous:
+            return False  # a majority of the former members is still needed
+        fresh = self.peers.fresh(self.context.now)
+        spares = [peer for peer in fresh if peer.heartbeat.votes and not peer.heartbeat.draining]
+        return all(peer.member in state.voters for peer in spares)
+
+    # Events ----------------------------------------------------------------------------------------------------------
+
+    def _handle(self, event: Event) -> None:
+        match event:
+            case MessageReceived():
+                self._handle_message(event.ip, event.message)
+            case Tick():
+                self.peers.forget_silent(self.context.now)
+                self._send_heartbeats()
+            case LeaseChanged():
+                self.leadership.on_lease_changed(event.held, event.highest_term)
+                self._propose_due(self.leadership.due_change(self.state, self.draining))
+            case AreaStored(area=area, succeeded=succeeded):
+                if area == VOTE_AREA:
+                    self.voter.on_stored(succeeded)
+                else:
+                    self.bodies.on_stored(self.context.now, area, succeeded)
+            case BodyReceived():
+                self.bodies.add(self.context.now, event.id, event.body)
+            case ConfigurationSubmitted():
+                self.calls.submit_configuration(event)
+            case EvacuationSubmitted():
+                was_suspended = self.context.now - self._resumed_at < RESUME_GRACE
+                self.calls.submit_evacuation(event, was_suspended)
+            case ReadRequested():
+                self.calls.read(event)
+            case CallExpired():
+                self.calls.expire(event)
+            case ShutdownRequested():
+                self.draining = True
+                self._send_heartbeats()
+            case _:
+                raise TypeError(f"unknown event {event!r}")
+
+    def _handle_message(self, ip: str, message: ReplicaMessage) -> None:
+        match message:
+            case ReplicaHeartbeat():
+                self._on_heartbeat(ip, message)
+            case Prepare():
+                self._observe_proposal(ip, message.proposal_number)
+                self.voter.prepare(ip, message)
+            case Promise():
+                self._multicast(self.proposer.promised(message))
+            case Accept():
+                self._observe_proposal(ip, message.proposal_number)
+                self.voter.accept(ip, message)
+            case Accepted():
+                self._on_accepted(message)
+            case Refusal():
+                self.proposer.refused(self.context.now, message)
+                self.proposer.withdraw(CONFIRMATION)
+            case Decision():
+                self.learner.learn(message.proposal_number, message.state, None)
+            case ForwardedChange():
+                self.calls.on_forwarded(ip, message)
+            case ForwardedChangeResult():
+                self.calls.on_forwarded_result(message)
+            case _:
+                assert_never(message)
+
+    def _observe_proposal(self, ip: str, proposal_number: ProposalNumber) -> None:
         """Another is about to have something decided, which finishes what is unfinished: no need to do so here."""
-        if ip != self.settings.ip:
-            self.unsettled_at = self.now
-
-    def _carry_out(self, outcomes):
-        for outcome in outcomes:
-            if isinstance(outcome, StoreVote):
-                self.vote_number = outcome.number
-                self.orders.append(events.StoreArea(VOTE, msgspec.msgpack.encode(outcome.vote)))
-            elif isinstance(outcome, Granted):
-                self._send(outcome.request.sender, self._granted(outcome))
-            elif isinstance(outcome, Refused):
-                self._send(outcome.request.sender, Refusal(outcome.request.ballot, outcome.promised))
-
-    def _granted(self, outcome):
-        request, before = outcome.request, outcome.before
-        if request.accept:
-            return Accepted(self.member, request.ballot)
-        return Promise(self.member, request.ballot, before.accepted, before.state)
-
-    def _stored(self, event):
-        if event.area == VOTE:
-            first = self.vote is None
-            self._carry_out(self.acceptor.stored(self.vote_number, event.kept))
-            if first and event.kept:
-                self.orders.extend(events.EraseArea(area) for area in LEGACY_AREAS)
-            elif first:
-                self.first_vote_at = self.now + VOTE_AGAIN
-        else:
-            self.bodies.saved(self.now, event.area, event.kept)
-
-    def _store_first_vote(self):
-        """Nothing is voted before it is on disk who we are."""
-        first = self.first_vote
-        if first is None or self.vote is not None or self.acceptor.storing is not None or self.now < self.first_vote_at:
-            return
-        # One that was lost since is fetched as any other: nobody might hold it any more.
-        id = first.state.configuration if first.state is not None else NO_CONFIGURATION
-        if self.bodies.is_stored(id) or self.bodies.content(id) is None:
-            self._carry_out([self.acceptor.store(first)])
+        self.proposer.observe(proposal_number)
+        if ip != self.context.settings.ip:
+            self._unfinished_since = self.context.now
 
-    # Deciding and learning -------------------------------------------------------------------------------------------
-
-    def _promise(self, ip, message):
-        self._send_to_members(self.proposer.promised(message))
-
-    def _accepted(self, ip, message):
+    def _on_accepted(self, message: Accepted) -> None:
         decided = self.proposer.accepted(message)
-        if isinstance(decided, Decided):
-            self._learn(decided.ballot, decided.state, decided.at)
-            for other in self.ips():
-                self._send(other, Decision(decided.ballot, decided.state))
-            for outcome in decided.outcomes:
-                self._tell_outcome(outcome)
-
-    def _tell_outcome(self, outcome):
-        kind, *rest = outcome.key
-        taken = outcome.rejection if isinstance(outcome.rejection, VersionConflictError) else None
-        if kind == "own":
-            self._answer(rest[0], taken)
-        elif kind == "carried":
-            ip, incarnation, key = rest
-            self._send(ip, ForwardedChangeResult(key, incarnation, taken.held if taken is not None else None))
-
-    def _refused(self, ip, message):
-        self.proposer.refused(self.now, message)
-        self.proposer.withdraw(CONFIRMATION)
-
-    def _decision(self, ip, message):
-        self._learn(message.ballot, message.state, None)
-
-    def _learn(self, ballot, state, as_of):
-        """`as_of`: the moment from which a majority was asked, None where it is only told."""
-        known = self.decided
-        if known is None or ballot > known.ballot:
-            self.decided = DecidedState(ballot, state, as_of if as_of is not None else self.began - SERVED_WITHIN)
-            self.proposer.heard_of(ballot)
-            self.proposer.decided_epoch = state.epoch
-        elif ballot == known.ballot and as_of is not None:
-            known.as_of = max(known.as_of, as_of)
-
-    def _heartbeat(self, ip, heartbeat):
-        if heartbeat.member.ip == self.settings.ip or not self.contacts.heard(self.now, heartbeat):
-            return
-        self.proposer.heard_of(heartbeat.accepted)
-        if self.decided is not None and (heartbeat.decided is None or heartbeat.decided < self.decided.ballot):
-            self._send(ip, Decision(self.decided.ballot, self.decided.state))
-        if heartbeat.urgent:
-            self._send(ip, self._heartbeat_to(ip))
-
-    def _learn_from_disks(self):
-        """What a majority is known to have accepted under one ballot is decided, whoever proposed it."""
-        vote = self.vote
-        if vote is None or vote.accepted is None or self.decided is not None and vote.accepted <= self.decided.ballot:
-            return
-        if vote.state.has_quorum(self.contacts.accepted_by(vote.accepted, vote), self.proposer.decided_epoch):
-            self._learn(vote.accepted, vote.state, None)
-
-    def _settle(self):
-        """A decision that was begun and whose proposer is gone is finished."""
-        if not self._is_unsettled():
-            self.unsettled_at = None
+        if decided is None:
             return
-        if self.unsettled_at is None:
-            self.unsettled_at = self.now
-        hurry = any(call.change is None and self.now - call.since > ASK_AGAIN for call in self.calls.values())
-        patience = ASK_AGAIN if hurry else SETTLE_AFTER
-        if self.now - self.unsettled_at >= patience + SETTLE_STEP * self._rank():
-            self.unsettled_at = self.now
-            self.proposer.submit(self.now, CONFIRMATION, Confirm())
-
-    def _is_unsettled(self):
-        known = self._newest_known()
-        if known is None:
-            return False
-        decided = self.decided.ballot if self.decided is not None else None
-        accepted = [peer.heartbeat.accepted for peer in self.contacts.fresh(self.now)]
-        if self.vote is not None:
-            accepted.append(self.vote.accepted)
-        return any(ballot is not None and (decided is None or ballot > decided) for ballot in accepted)
-
-    def _rank(self):
-        """Our place among those that vote, the holder of the lease first, so that not all propose at once."""
-        known = self._newest_known()
-        electorate = known[1].electorate
-        if self.leads:
-            return 0
-        # One that does not vote comes last: several such, all at once, met each other's proposals for seconds.
-        return 1 + (electorate.index(self.member) if self.member in electorate else len(electorate))
-
-    def _newest_known(self):
-        """(ballot, state) of the newest state known here, decided or only accepted by us; None: none."""
-        found = []
-        if self.decided is not None:
-            found.append((self.decided.ballot, self.decided.state))
-        if self.vote is not None and self.vote.accepted is not None:
-            found.append((self.vote.accepted, self.vote.state))
-        return max(found, key=lambda known: known[0], default=None)
-
-    # Acting for all --------------------------------------------------------------------------------------------------
-
-    def _lease(self, event):
-        if event.held and not self.lease_held:
-            self.claim, self.carrying_since = self.random.getrandbits(48) | 1, self.now
-        self.lease_held, self.lease_told_at, self.above = event.held, self.now, event.above
-        if not event.held or self.state is None:
+        self.learner.learn(decided.proposal_number, decided.state, decided.began_at)
+        for ip in self.other_ips():
+            self.context.send(ip, Decision(decided.proposal_number, decided.state))
+        for outcome in decided.outcomes:
+            self.calls.on_outcome(outcome)
+
+    def _on_heartbeat(self, ip: str, heartbeat: ReplicaHeartbeat) -> None:
+        is_own = heartbeat.member.ip == self.context.settings.ip
+        if is_own or not self.peers.record_heartbeat(self.context.now, heartbeat):
             return
-        if self.state.claim != self.claim:
-            self.proposer.submit(self.now, ("term", self.claim), BeginTerm(self.claim, self.above))
-        else:
-            change = membership.due_change(
-                self.now,
-                self.contacts,
-                self.member,
-                self.state,
-                self.settings.faults,
-                self.carrying_since,
-                self.leaving,
-            )
-            if change is not None:
-                self.proposer.submit(self.now, ("member",), change)
-
-    def _finish_replacement(self):
-        """At once, as until then a majority of those that vote no more is needed as well."""
-        if self.term() is not None and self.state.previous:
-            self.proposer.submit(self.now, ("member",), FinishReplacement(self.state.epoch))
-
-    def _leave(self, _):
-        self.leaving = True
-        self._send_heartbeats()
+        self.proposer.observe(heartbeat.accepted)
+        decided = self.decided
+        if decided is not None and (heartbeat.decided is None or heartbeat.decided < decided.proposal_number):
+            self.context.send(ip, Decision(decided.proposal_number, decided.state))
+        if heartbeat.urgent:
+            self.context.send(ip, self._heartbeat_to(ip))
 
     # Heartbeats ------------------------------------------------------------------------------------------------------
 
-    def _tick(self, _):
-        self.contacts.forget(self.now)
-        self._send_heartbeats()
-
-    def _send_heartbeats(self, urgent=False):
-        self.contacts.next_ask(self.now)
-        for ip in self.ips():
-            self._send(ip, self._heartbeat_to(ip, urgent))
+    def _send_heartbeats(self, urgent: bool = False) -> None:
+        self.peers.next_sequence(self.context.now)
+        for ip in self.other_ips():
+            self.context.send(ip, self._heartbeat_to(ip, urgent))
 
-    def _heartbeat_to(self, ip, urgent=False):
-        peer = self.contacts.peers.get(ip)
-        vote, decided = self.vote, self.decided
+    def _heartbeat_to(self, ip: str, urgent: bool = False) -> ReplicaHeartbeat:
+        peer = self.peers.peers.get(ip)
+        vote, decided, context = self.vote, self.decided, self.context
         return ReplicaHeartbeat(
-            node=self.settings.node,
-            member=self.member,
-            incarnation=self.incarnation,
-            ask=self.contacts.ask,
+            node=context.settings.node,
+            member=context.member,
+            incarnation=context.incarnation,
+            sequence=self.peers.sequence,
             acknowledged_incarnation=peer.heartbeat.incarnation if peer is not None else 0,
-            answers=peer.heartbeat.ask if peer is not None else 0,
+            acknowledged=peer.heartbeat.sequence if peer is not None else 0,
             accepted=vote.accepted if vote is not None else None,
-            decided=decided.ballot if decided is not None else None,
+            decided=decided.proposal_number if decided is not None else None,
             revision=decided.state.revision if decided is not None else 0,
             ready=decided is not None and self.bodies.is_stored(decided.state.configuration),
             votes=vote is not None,
-            leaving=self.leaving,
-            carries=self.leads,
+            draining=self.draining,
+            holds_lease=self.leadership.is_leader(),
             registry=self.registry_version,
             urgent=urgent,
         )
 
     # What follows from each event ------------------------------------------------------------------------------------
 
-    def _follow_up(self):
-        self._store_first_vote()
-        self._run_local()
-        self._learn_from_disks()
-        self._settle()
-        self._finish_replacement()
-        self._send_to_members(self.proposer.due(self.now, self._newest_known()))
-        self._run_local()
-        self._keep_bodies()
+    def _follow_up(self) -> None:
+        self.voter.store_first_vote()
+        self._handle_local_messages()
+        self.learner.learn_from_votes(self.vote)
+        self._finish_undecided()
+        self._propose_due(self.leadership.due_finish(self.state))
+        self._multicast(self.proposer.due(self.context.now, self.learner.newest_known(self.vote)))
+        self._handle_local_messages()
+        self._synchronize_bodies()
         self._publish()
-        self._answer_calls()
-
-    def _run_local(self):
-        """Messages to ourselves."""
-        while self.local:
-            message = self.local.popleft()
-            MESSAGES[type(message)](self, self.settings.ip, message)
-
-    def _send(self, ip, message):
-        if ip == self.settings.ip:
-            self.local.append(message)
-        else:
-            self.orders.append(events.SendMessage(ip, message))
-
-    def _send_to_members(self, sends):
-        for members, message in sends:
-            for ip in dict.fromkeys(member.ip for member in members):
-                self._send(ip, message)
-
-    def _received(self, event):
-        MESSAGES[type(event.message)](self, event.ip, event.message)
-
-    def _body(self, event):
-        self.bodies.add(self.now, event.id, event.body)
-
-    def _keep_bodies(self):
-        for area, content in self.bodies.saves(self.now):
-            self.orders.append(events.StoreArea(area, content))
-        wanted = []
-        if self.parked is not None:
-            ip, message = self.parked
-            wanted.append((message.state.configuration, [ip, *self.ips()]))
-            if self.bodies.is_stored(message.state.configuration):
-                self.parked = None
-                self._accept(ip, message)
-                self._run_local()
-        if self.decided is not None:
-            holders = [peer.member.ip for peer in self.contacts.fresh(self.now) if peer.heartbeat.ready]
-            wanted.append((self.decided.state.configuration, holders or self.ips()))
-        for id, ips in wanted:
-            ip = self.bodies.fetch(self.now, id, [other for other in ips if other != self.settings.ip])
-            if ip is not None:
-                self.orders.append(events.FetchBody(ip, id))
-        for area in self.bodies.clear(self.now, self._named()):
-            self.orders.append(events.EraseArea(area))
-
-    def _named(self):
-        """Configurations that something here may still need."""
-        named: set[ConfigurationId] = set()
-        states = [self.state, self.vote.state if self.vote is not None else None]
-        states += [self.first_vote.state if self.first_vote is not None and self.vote is None else None]
-        states += [self.parked[1].state if self.parked is not None else None]
-        states += self.acceptor.values()
-        named.update(state.configuration for state in states if state is not None)
-        changes = [call.change for call in self.calls.values()] + [p.change for p in self.proposer.pending]
-        named.update(change.id for change in changes if isinstance(change, SetConfiguration))
-        return named
-
-    def _publish(self):
+        self._complete_calls()
+
+    def _handle_local_messages(self) -> None:
+        while self.context.local_messages:
+            self._handle_message(self.context.settings.ip, self.context.local_messages.popleft())
+
+    def _propose_due(self, due: DueChange | None) -> None:
+        if due is not None:
+            self.proposer.submit(self.context.now, due.key, due.change)
+
+    def _multicast(self, multicasts: Iterable[Multicast]) -> None:
+        for multicast in multicasts:
+            for ip in dict.fromkeys(member.ip for member in multicast.members):
+                self.context.send(ip, multicast.message)
+
+    def _finish_undecided(self) -> None:
+        """A decision that was begun, and whose proposer is gone, is finished."""
+        now = self.context.now
+        if not self.learner.has_unfinished(self.vote):
+            self._unfinished_since = None
+            return
+        if self._unfinished_since is None:
+            self._unfinished_since = now
+        patience = READ_RETRY if self.calls.has_slow_read(READ_RETRY) else FINISH_AFTER
+        if now - self._unfinished_since >= patience + FINISH_STAGGER * self._rank():
+            self._unfinished_since = now
+            self.proposer.submit(now, CONFIRMATION, Confirm())
+
+    def _rank(self) -> int:
+        """Our position among those that vote, the lease holder first, so that not all propose at once."""
+        if self.leadership.is_leader():
+            return 0
+        known = self.learner.newest_known(self.vote)
+        electorate: Sequence[Member] = known.state.electorate if known is not None else ()
+        # One that does not vote comes last: several such, all at once, had their proposals collide for seconds.
+        return 1 + (electorate.index(self.member) if self.member in electorate else len(electorate))
+
+    def _synchronize_bodies(self) -> None:
+        """Stores, fetches and erases the bytes of configurations."""
+        now, context = self.context.now, self.context
+        for store in self.bodies.stores_due(now):
+            context.execute(store)
+        deferred = self.voter.deferred
+        self._accept_deferred()
+        if deferred is not None:
+            self._fetch_missing(deferred.message.state.configuration, [deferred.ip, *self.other_ips()])
+        if self.state is not None:
+            holders = [peer.member.ip for peer in self.peers.fresh(now) if peer.heartbeat.ready]
+            self._fetch_missing(self.state.configuration, holders or self.other_ips())
+        for area in self.bodies.drop_unused(now, self._referenced_configurations()):
+            context.execute(EraseArea(area))
+
+    def _accept_deferred(self) -> None:
+        deferred = self.voter.take_ready_deferred()
+        if deferred is not None:
+            self._handle_message(deferred.ip, deferred.message)
+            self._handle_local_messages()
+
+    def _fetch_missing(self, id: ConfigurationId, ips: Collection[str]) -> None:
+        others = [ip for ip in ips if ip != self.context.settings.ip]
+        source = self.bodies.source_to_fetch(self.context.now, id, others)
+        if source is not None:
+            self.context.execute(FetchBody(source, id))
+
+    def _referenced_configurations(self) -> set[ConfigurationId]:
+        """Configurations whose bytes something here may still need."""
+        states = self.voter.referenced_states()
+        if self.state is not None:
+            states.append(self.state)
+        referenced = {state.configuration for state in states} | self.calls.referenced_configurations()
+        return referenced - {NO_CONFIGURATION}
+
+    def _publish(self) -> None:
         decided = self.decided
-        if decided is None or self.published == decided.ballot:
+        if decided is None or self.learner.is_published():
             return
         if self.bodies.content(decided.state.configuration) is not None:
-            self.published = decided.ballot
-            self.orders.append(events.PublishState())
+            self.learner.published = decided.proposal_number
+            self.context.execute(PublishState())
 
-    def _answer_calls(self):
-        for ticket, call in list(self.calls.items()):
+    def _complete_calls(self) -> None:
+        for ticket, call in list(self.calls.pending.items()):
             if call.change is None:
-                self._answer_read(ticket, call)
-            elif isinstance(call.change, SetConfiguration) and self._is_decided(call.change.id):
-                self._answer(ticket, None)
-            elif not call.proposed and CARRY_WAIT <= self.now - call.since < CALLED_WITHIN:
-                self._propose_call(ticket, call)
-
-    def _is_decided(self, id):
-        """Was that configuration decided, be it the newest or not?"""
-        return self.decided is not None and (id == self.decided.state.configuration or id in self.decided.state.recent)
+                self._complete_read(ticket, call)
+            else:
+                self.calls.follow_up(ticket, call)
 
-    def _answer_read(self, ticket, call):
-        at = self.confirmed_at
+    def _complete_read(self, ticket: int, call: Call) -> None:
+        """A read is answered once a majority confirmed, after the read came, that nothing newer is decided."""
+        at, now = self.confirmed_at, self.context.now
         if at is None or at < call.since:
-            if self.now - call.asked_at >= ASK_AGAIN:
-                call.asked_at = self.now
+            if now - call.asked_at >= READ_RETRY:
+                call.asked_at = now
                 self._send_heartbeats(urgent=True)
             return
-        if self.published != self.decided.ballot:
-            return  # its configuration is on the way
-        del self.calls[ticket]
-        configuration = self.decided.state.configuration
-        body = self.bodies.content(configuration)
-        self.orders.append(events.CompleteCall(ticket, 200, body) if body else events.CompleteCall(ticket, 404))
-
-
-MESSAGES = {
-    ReplicaHeartbeat: Replica._heartbeat,
-    Prepare: Replica._prepare,
-    Promise: Replica._promise,
-    Accept: Replica._accept,
-    Accepted: Replica._accepted,
-    Refusal: Replica._refused,
-    Decision: Replica._decision,
-    ForwardedChange: Replica._carry,
-    ForwardedChangeResult: Replica._carried,
-}
-HANDLERS = {
-    events.ConfigurationSubmitted: Replica._put,
-    events.EvacuationSubmitted: Replica._evacuate,
-    events.ReadRequested: Replica._read,
-    events.CallExpired: Replica._expired,
-    events.AreaStored: Replica._stored,
-    events.BodyReceived: Replica._body,
-    events.LeaseChanged: Replica._lease,
-    events.ShutdownRequested: Replica._leave,
-    events.Tick: Replica._tick,
-    MessageReceived: Replica._received,
-}
+        if self.learner.is_published():  # else its configuration is on the way
+            self.calls.complete_read(ticket)
--- a/fernyard/cluster/control_plane/store.py
+++ b/fernyard/cluster/control_plane/store.py
@@ -8,102 +8,126 @@
 import dbm.dumb
 import os
 import re
+from collections.abc import Callable
 from hashlib import sha256
+from typing import NamedTuple
 
 from ..common.errors import StoreError
 from ..common.logs import ComponentLogger
 
 log = ComponentLogger("store")
-NAME = re.compile(r"([a-z]+(?:-[0-9a-f-]+)?)-([0-9]{10})\.(dir|dat|bak)")
+FILE_NAME = re.compile(r"([a-z]+(?:-[0-9a-f-]+)?)-([0-9]{10})\.(dir|dat|bak)")
+
+
+class StoredFile(NamedTuple):
+    """What the name of a file says: `end` is dir (the index), dat (the content) or bak (left by the library)."""
+
+    area: str
+    number: int
+    end: str
+
+    @classmethod
+    def parse(cls, name: str) -> "StoredFile | None":
+        """None for a file that is not the store's."""
+        match = FILE_NAME.fullmatch(name)
+        return cls(match[1], int(match[2]), match[3]) if match is not None else None
+
+    @staticmethod
+    def base(area: str, number: int) -> str:
+        """The name without its end."""
+        return f"{area}-{number:010d}"
+
+
+class Files:
+    """The operating system's calls that the store makes by itself; tests put others in their place."""
+
+    listdir = staticmethod(os.listdir)
+    remove = staticmethod(os.remove)
+
+    @staticmethod
+    def makedirs(folder: str) -> None:
+        """Makes a folder, unless it is there."""
+        os.makedirs(folder, exist_ok=True)
+
+    @staticmethod
+    def sync(path: str) -> None:
+        """Returns once the file or folder would outlast a loss of power."""
+        handle = os.open(path, os.O_RDONLY)
+        try:
+            os.fsync(handle)
+        finally:
+            os.close(handle)
 
 
 class Store:
-    """Areas of bytes in one folder. `files` stands in for the operating system in tests."""
+    """Areas of bytes in one folder. Errors of the disk are raised as StoreError."""
 
-    def __init__(self, folder, files=None):
-        self.folder, self.files, self.number = folder, files or Files(), 0
+    def __init__(self, folder: str, files: Files | None = None) -> None:
+        self.folder, self.files = folder, files or Files()
+        self.number = 0  # of the newest files
         try:
             self.files.makedirs(folder)
-        except OSError as why:
-            raise StoreError(why.strerror or str(why), folder) from None
+        except OSError as error:
+            raise StoreError(error.strerror or str(error), folder) from error
 
-    def load(self):
-        """{area: bytes} as last kept whole."""
-        found = {}
+    def load(self) -> dict[str, bytes]:
+        """{area: bytes} as last stored completely."""
+        areas: dict[str, bytes] = {}
         try:
             names = sorted(self.files.listdir(self.folder), reverse=True)
-        except OSError as why:
-            raise StoreError(why.strerror or str(why), self.folder) from None
+        except OSError as error:
+            raise StoreError(error.strerror or str(error), self.folder) from error
         for name in names:
-            match = NAME.fullmatch(name)
-            if match is None:
+            file = StoredFile.parse(name)
+            if file is None:
                 continue
-            area, number = match[1], int(match[2])
-            self.number = max(self.number, number)
-            if match[3] == "dir" and area not in found:
-                content = self._read(f"{area}-{match[2]}")
+            self.number = max(self.number, file.number)
+            if file.end == "dir" and file.area not in areas:
+                content = self._read(StoredFile.base(file.area, file.number))
                 if content is not None:
-                    found[area] = content
-        return found
+                    areas[file.area] = content
+        return areas
 
-    def _read(self, base):
+    def _read(self, base: str) -> bytes | None:
         try:
-            with dbm.dumb.open(os.path.join(self.folder, base), "r") as held:
-                content, digest = held[b"content"], held[b"digest"]
+            with dbm.dumb.open(os.path.join(self.folder, base), "r") as database:
+                content, digest = database[b"content"], database[b"digest"]
             if sha256(content).digest() == digest:
                 return content
-        except Exception as why:  # whatever a torn file makes of the library's reading
-            log.warning("A file is torn and passed over.", file=base, why=type(why).__name__)
+        except Exception as error:  # whatever a torn file makes of the library's reading
+            log.warning("A file is torn and passed over.", file=base, why=type(error).__name__)
             return None
         log.warning("A file does not fit its digest and is passed over.", file=base)
         return None
 
-    def save(self, area, content):
+    def save(self, area: str, content: bytes) -> None:
         """Returns once `content` is the state of `area` even if power is lost; StoreError if it may not be."""
         self.number += 1
-        base = os.path.join(self.folder, f"{area}-{self.number:010d}")
+        number = self.number
+        base = os.path.join(self.folder, StoredFile.base(area, number))
         try:
-            with dbm.dumb.open(base, "n") as held:
-                held[b"content"] = content
-                held[b"digest"] = sha256(content).digest()
+            with dbm.dumb.open(base, "n") as database:
+                database[b"content"] = content
+                database[b"digest"] = sha256(content).digest()
             for end in ".dat", ".dir":
                 self.files.sync(base + end)
             self.files.sync(self.folder)
-        except OSError as why:
-            # What was not kept is not read back either, where the disk allows that.
-            self._clear(lambda held, number, end: held == area and number == self.number)
-            raise StoreError(why.strerror or str(why), base) from None
-        self._clear(lambda held, number, end: held == area and (number < self.number or end == "bak"))
+        except OSError as error:
+            # What was not stored is not read back either, where the disk allows that.
+            self._remove(lambda file: file.area == area and file.number == number)
+            raise StoreError(error.strerror or str(error), base) from error
+        self._remove(lambda file: file.area == area and (file.number < number or file.end == "bak"))
 
-    def erase(self, area):
+    def erase(self, area: str) -> None:
         """The area is no more; one that could not be removed, or comes back after a loss of power, does no harm."""
-        self._clear(lambda held, number, end: held == area)
+        self._remove(lambda file: file.area == area)
 
-    def _clear(self, goes):
-        """Files that are not the state go; one that stays does no harm."""
+    def _remove(self, is_obsolete: Callable[[StoredFile], bool]) -> None:
+        """Removes files that are not the state; one that stays does no harm."""
         try:
             for name in sorted(self.files.listdir(self.folder)):
-                match = NAME.fullmatch(name)
-                if match and goes(match[1], int(match[2]), match[3]):
+                file = StoredFile.parse(name)
+                if file is not None and is_obsolete(file):
                     self.files.remove(os.path.join(self.folder, name))
-        except OSError as why:
-            log.warning("Files could not be removed.", why=str(why))
-
-
-class Files:
-    """The operating system's calls that the store makes by itself."""
-
-    listdir = staticmethod(os.listdir)
-    remove = staticmethod(os.remove)
-
-    @staticmethod
-    def makedirs(folder):
-        os.makedirs(folder, exist_ok=True)
-
-    @staticmethod
-    def sync(path):
-        handle = os.open(path, os.O_RDONLY)
-        try:
-            os.fsync(handle)
-        finally:
-            os.close(handle)
+        except OSError as error:
+            log.warning("Files could not be removed.", why=str(error))
--- a/fernyard/cluster/data_plane/process.py
+++ b/fernyard/cluster/data_plane/process.py
@@ -176,7 +176,7 @@
 
     def do_add(self, order):
         if order.ip is None:
-            total = self.ledger.add(self.now(), order.count, self.router.registry.mark)
+            total = self.ledger.add(self.now(), order.count, self.router.registry.version)
             self.loop.call_soon(self.post, t.Counted(total))
         else:
             self.datagrams.send(order.count, (order.ip, self.set.ports[0]))
@@ -186,7 +186,7 @@
     def heard(self, message, address):
         kind = type(message)
         if kind is Count:
-            total = self.ledger.add(self.now(), message, self.router.registry.mark)
+            total = self.ledger.add(self.now(), message, self.router.registry.version)
             if total is None:
                 return
             self.datagrams.send(total, address)
@@ -220,7 +220,7 @@
             held.revision,
             held.registry,
         )
-        for ip in rendezvous.few(self.set.node, self.replicas, WATCHERS):
+        for ip in rendezvous.top(self.set.node, self.replicas, WATCHERS):
             self.datagrams.send(heartbeat, (ip, self.set.ports[0]))
 
     async def beats(self):
@@ -250,15 +250,15 @@
                 if router.routes is not None:
                     self.listener.caps(router.routes.plan)
             if pull.registry:
-                mark = router.registry.mark
+                mark = router.registry.version
                 told = await self.get(pull, "registry", {"since": f"{mark[0]}.{mark[1]}"})
                 self.post(t.RegistryChanged(decode_registry_update(told)))
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError):
             return self.subscriber.failed(self.now(), pull.ip)  # asked again, of another
         registry = router.registry
         confirmed_at = asked_at if pull.configuration and pull.ip in self.replicas else None
-        self.subscriber.got(self.now(), pull.ip, router.revision, registry.mark, registry.gateways, confirmed_at)
-        notice = PeerNotice(self.set.node, self.set.ip, router.revision, router.registry.mark)
+        self.subscriber.got(self.now(), pull.ip, router.revision, registry.version, registry.gateways, confirmed_at)
+        notice = PeerNotice(self.set.node, self.set.ip, router.revision, router.registry.version)
         if self.subscriber.home() == self.set.node:
             for _, ip in self.subscriber.neighbours():
                 self.datagrams.send(notice, (ip, self.set.ports[0]))
--- a/fernyard/cluster/data_plane/quota.py
+++ b/fernyard/cluster/data_plane/quota.py
@@ -70,12 +70,12 @@
         if sender is None:
             sender = self.senders[told.node] = _Sender()
         former = sender.incarnations.current
-        if not sender.incarnations.hear(now, told.incarnation):
+        if not sender.incarnations.accept(now, told.incarnation):
             return False
         if told.incarnation != former:
             sender.window = ReplayWindow()
         sender.used = now
-        return sender.window.take(told.ask)
+        return sender.window.accept(told.ask)
 
     def _held(self, now, told):
         """The tally of a tenant, made anew where the length of its buckets changed."""
@@ -204,7 +204,7 @@
         if total.counter_incarnation != incarnations.current and total.ask < newest:
             return False
         self.newest[counter] = max(newest, total.ask)
-        return incarnations.hear(now, total.counter_incarnation)
+        return incarnations.accept(now, total.counter_incarnation)
 
     def late(self, ask, counter):
         """No answer in time."""
--- a/fernyard/cluster/data_plane/router.py
+++ b/fernyard/cluster/data_plane/router.py
@@ -140,7 +140,7 @@
         gateway = self.registry.gateways.get(counter)
         total = None
         if gateway is not None:
-            count, wait = self.quota.ask(self.now, tenant, counter, self.registry.mark, req)
+            count, wait = self.quota.ask(self.now, tenant, counter, self.registry.version, req)
             self.orders.append(t.Add(None if gateway.node == self.set.node else gateway.ip, count))
             if wait:
                 self._at(self.now + min(wait, req.left_at - self.now), self._uncounted, req, count.ask, counter)
--- a/fernyard/cluster/data_plane/workers.py
+++ b/fernyard/cluster/data_plane/workers.py
@@ -134,10 +134,10 @@
                 for node, gateway in self.gateways.items()
                 if gateway.region == worker.region and gateway.zone != worker.told.zone
             ]
-            named = rendezvous.few(worker.told.id, near, COLD_SENDERS)
-            named += rendezvous.few(worker.told.id, region, COLD_SENDERS - len(named))
+            named = rendezvous.top(worker.told.id, near, COLD_SENDERS)
+            named += rendezvous.top(worker.told.id, region, COLD_SENDERS - len(named))
             rest = [node for node in self.gateways if node not in named]
-            named += rendezvous.few(worker.told.id, rest, COLD_SENDERS - len(named))
+            named += rendezvous.top(worker.told.id, rest, COLD_SENDERS - len(named))
             if len(self.senders) > REMEMBERED:
                 self.senders.clear()
             self.senders[worker.told.id] = named
--- a/fernyard/cluster/slopes.py
+++ b/fernyard/cluster/slopes.py
@@ -28,16 +28,18 @@
 from .common.registry import Registry
 from .control_plane import configuration
 from .control_plane.discovery import Discovery
-from .control_plane.messages import Accept, Decision, MessageReceived, ReplicaHeartbeat, encode as encode_message
-from .control_plane.replica import Replica, ReplicaSettings
+from .control_plane.events import MessageReceived
+from .control_plane.messages import Accept, Decision, ReplicaHeartbeat, encode as encode_message
+from .control_plane.replica import Replica
+from .control_plane.replica_context import ReplicaSettings
 from .control_plane.state import (
-    REMEMBERED_NUMBERS,
+    MAX_RECENT_CONFIGURATIONS,
     ConfigurationId,
     ControlState,
     Member,
     ProposalNumber,
     Vote,
-    ZoneOrder,
+    ZoneEvacuation,
 )
 from .data_plane import events as t
 from .data_plane.quota import Ledger, Quota
@@ -159,7 +161,7 @@
     leader.write(1, *told)
     snapshot = encode(leader.since(NO_VERSION, 0.0))
     _, size = held(lambda: decode_registry_update(snapshot))
-    mark, changed = leader.mark, dict(told[0])
+    version, changed = leader.version, dict(told[0])
     changed["i-00000000"] = Worker("i-00000000", "svc0000", "10.1.0.0:8080", "z0", 6, True)
     write = timed(lambda: leader.write(1, *told), 20)
     leader.write(1, changed, told[1])
@@ -177,7 +179,7 @@
         "gateways": gateways,
         "snapshot_bytes": len(snapshot),
         "held_bytes": size,
-        "change_bytes": len(encode(leader.since(mark, 0.0))),
+        "change_bytes": len(encode(leader.since(version, 0.0))),
         "write_us": write,
         "sort_us": timed(lambda: router.workers.registry(0.0, *told), 5),
     }
@@ -234,12 +236,12 @@
         hellos.append(
             GatewayHeartbeat(node, 1, gateway.ip, gateway.zone, gateway.region, gateway.front, True, False, 5, (3, 9))
         )
-    _, size = held(lambda: [watch.heard(0.0, heartbeat) for heartbeat in hellos])
+    _, size = held(lambda: [watch.record_heartbeat(0.0, heartbeat) for heartbeat in hellos])
     seen = watch.gateways(0.1)
     return {
         "gateways": gateways,
         "held_bytes": size,
-        "heard_us": timed(lambda: watch.heard(0.0, hellos[0])),
+        "heard_us": timed(lambda: watch.record_heartbeat(0.0, hellos[0])),
         "gateways_us": timed(lambda: watch.gateways(0.1), 20),
         "resolve_us": timed(lambda: watch.resolve(0.1, "z1", "r", seen), 20),
     }
@@ -248,14 +250,14 @@
 def of_control_state(voters, zones):
     """One replica among `voters`, with an order about each of `zones`: what its messages take, and a heartbeat heard."""
     members = tuple(Member(f"10.{number}.0.11", 1 << 47) for number in range(voters))
-    orders = tuple(ZoneOrder(f"zone-{number:02d}", 1, True) for number in range(zones))
+    orders = tuple(ZoneEvacuation(f"zone-{number:02d}", 1, True) for number in range(zones))
     id = ConfigurationId(12, 1 << 62)
-    state = ControlState(1000, id, (id,) * REMEMBERED_NUMBERS, orders, 3, members, (), 40, 1 << 47)
-    ballot = ProposalNumber(9000, 1 << 47)
+    state = ControlState(1000, id, (id,) * MAX_RECENT_CONFIGURATIONS, orders, 3, members, (), 40, 1 << 47)
+    proposal_number = ProposalNumber(9000, 1 << 47)
     settings = ReplicaSettings("core-1", members[0].ip, True, (), voters // 2)
-    replica = Replica(0.0, settings, 1, Vote(members[0], ballot, ballot, state), {id: b"{}"})
-    beats = [_replica_heartbeat(member, ballot, number) for number, member in enumerate(members[1:])]
-    replica.step(0.0, MessageReceived(members[1].ip, Decision(ballot, state)))
+    replica = Replica(0.0, settings, 1, Vote(members[0], proposal_number, proposal_number, state), {id: b"{}"})
+    beats = [_replica_heartbeat(member, proposal_number, number) for number, member in enumerate(members[1:])]
+    replica.step(0.0, MessageReceived(members[1].ip, Decision(proposal_number, state)))
 
     def hear():
         for beat in beats:
@@ -265,14 +267,27 @@
         "voters": voters,
         "zones": zones,
         "heartbeat_bytes": len(encode_message(beats[0])) if beats else 0,
-        "accept_bytes": len(encode_message(Accept(ballot, state))),
+        "accept_bytes": len(encode_message(Accept(proposal_number, state))),
         "heard_us": timed(hear, 50) / max(1, len(beats)),
     }
 
 
-def _replica_heartbeat(member, ballot, number):
+def _replica_heartbeat(member, proposal_number, number):
     return ReplicaHeartbeat(
-        f"core-{number}", member, 1 << 47, 999, 1 << 47, 999, ballot, ballot, 1000, True, True, False, False, (40, 99)
+        f"core-{number}",
+        member,
+        1 << 47,
+        999,
+        1 << 47,
+        999,
+        proposal_number,
+        proposal_number,
+        1000,
+        True,
+        True,
+        False,
+        False,
+        (40, 99),
     )
 
 
--- a/tests/cluster/control_model.py
+++ b/tests/cluster/control_model.py
@@ -14,7 +14,13 @@
 
 from fernyard.accord.acceptor import Acceptor, Granted, Refused, Request, StoreVote
 from fernyard.cluster.control_plane.messages import Accept, Accepted, Promise, Refusal
-from fernyard.cluster.control_plane.proposer import Outcome, Pending, Proposer, Round
+from fernyard.cluster.control_plane.proposer import (
+    NumberedState,
+    Outcome,
+    PendingChange,
+    Proposer,
+    Round,
+)
 from fernyard.cluster.control_plane.state import (
     NO_CONFIGURATION,
     ChangeRejectedError,
@@ -44,7 +50,7 @@
 class Ask:
     """A proposer asks for a promise, or that `state` is accepted."""
 
-    ballot: ProposalNumber
+    proposal_number: ProposalNumber
     state: object = None
 
 
@@ -54,10 +60,10 @@
 
     incarnation: int
     highest: int = 0
-    known: tuple = (START, FOUNDED)  # the newest that it knows to be decided
+    known: NumberedState = NumberedState(START, FOUNDED)  # the newest that it knows to be decided
     decided_epoch: int = 1
     pending: tuple = ()
-    ballot: ProposalNumber | None = None
+    proposal_number: ProposalNumber | None = None
     base: tuple = ()
     round_known: tuple = ()
     promises: tuple = ()
@@ -67,11 +73,11 @@
 
     def proposer(self):
         made = Proposer(self.incarnation, Random(0))
-        made.highest, made.decided_epoch = self.highest, self.decided_epoch
-        made.pending = [Pending(key, change, 1.0) for key, change in self.pending]
-        if self.ballot is not None:
+        made.highest_round, made.decided_epoch = self.highest, self.decided_epoch
+        made.pending = [PendingChange(key, change, 1.0) for key, change in self.pending]
+        if self.proposal_number is not None:
             made.round = Round(
-                self.ballot,
+                self.proposal_number,
                 0.0,
                 self.base,
                 self.round_known,
@@ -85,31 +91,41 @@
 
     def after(self, made):
         pending = tuple((waiting.key, waiting.change) for waiting in made.pending)
-        told = {"highest": made.highest, "pending": pending}
+        told = {"highest": made.highest_round, "pending": pending}
         round = made.round
         if round is None:
             return attrs.evolve(
-                self, **told, ballot=None, base=(), round_known=(), promises=(), state=None, accepted=(), outcomes=()
+                self,
+                **told,
+                proposal_number=None,
+                base=(),
+                round_known=(),
+                promises=(),
+                state=None,
+                accepted=(),
+                outcomes=(),
             )
-        if round.state is not None:
+        if round.proposed is not None:
             round.promises = {}  # they have been worked into the state
         return attrs.evolve(
             self,
             **told,
-            ballot=round.ballot,
+            proposal_number=round.proposal_number,
             base=round.base,
             round_known=round.known,
             promises=tuple(sorted(round.promises.items(), key=lambda item: item[0])),
-            state=round.state,
+            state=round.proposed,
             accepted=tuple(sorted(round.accepted)),
             outcomes=tuple((outcome.key, outcome.rejection is None) for outcome in round.outcomes),
         )
 
-    def learn(self, ballot, state):
-        if ballot <= self.known[0]:
+    def learn(self, proposal_number, state):
+        if proposal_number <= self.known[0]:
             return self
-        highest = max(self.highest, ballot.round)
-        return attrs.evolve(self, known=(ballot, state), decided_epoch=state.epoch, highest=highest)
+        highest = max(self.highest, proposal_number.round)
+        return attrs.evolve(
+            self, known=NumberedState(proposal_number, state), decided_epoch=state.epoch, highest=highest
+        )
 
 
 @cache
@@ -119,17 +135,17 @@
     if name is not None:
         made.submit(0.0, name, CHANGES[name][1])
     made.round, made.retry_at = None, 0.0
-    held = (vote.accepted, vote.state)
+    held = NumberedState(vote.accepted, vote.state)
     known = max([begun.known] + ([held] if held[0] is not None else []), key=lambda pair: pair[0])
     ((_, message),) = made.due(0.0, known)
-    return begun.after(made), Ask(message.ballot)
+    return begun.after(made), Ask(message.proposal_number)
 
 
 @cache
 def vote_on(vote, ask, early):
     """(what is answered before the vote is stored, what after, the vote then). `early`: a mutant answers before."""
     acceptor = Acceptor(vote, grants_again=True)
-    outcomes = acceptor.handle(Request(0, ask.ballot, ask.state is not None, ask.state))
+    outcomes = acceptor.handle(Request(0, ask.proposal_number, ask.state is not None, ask.state))
     before = [answer(vote.member, outcome) for outcome in outcomes if not isinstance(outcome, StoreVote)]
     after = []
     for outcome in [outcome for outcome in outcomes if isinstance(outcome, StoreVote)]:
@@ -140,20 +156,20 @@
 def answer(member, outcome):
     """The kind of the message and its fields."""
     if isinstance(outcome, Refused):
-        return Refusal, outcome.request.ballot, outcome.promised
+        return Refusal, outcome.request.proposal_number, outcome.promised
     assert isinstance(outcome, Granted)
     if outcome.request.accept:
-        return Accepted, member, outcome.request.ballot
-    return Promise, member, outcome.request.ballot, outcome.before.accepted, outcome.before.state
+        return Accepted, member, outcome.request.proposal_number
+    return Promise, member, outcome.request.proposal_number, outcome.before.accepted, outcome.before.state
 
 
 @cache
 def hear(begun, told):
-    """(proposer, Ask that it sends or None, (ballot, state, confirmed changes) that it decided or None)."""
+    """(proposer, Ask that it sends or None, (proposal_number, state, confirmed changes) that it decided or None)."""
     made, sent, decided, (kind, *fields) = begun.proposer(), None, None, told
     if kind is Promise:
         asks = [message for _, message in made.promised(Promise(*fields)) if type(message) is Accept]
-        sent = Ask(asks[0].ballot, asks[0].state) if asks else None
+        sent = Ask(asks[0].proposal_number, asks[0].state) if asks else None
     elif kind is Accepted:
         decided = made.accepted(Accepted(*fields))
     else:
@@ -162,12 +178,16 @@
     if decided is None:
         return after, sent, None
     confirmed = frozenset(outcome.key for outcome in decided.outcomes if outcome.rejection is None)
-    return after.learn(decided.ballot, decided.state), sent, (decided.ballot, decided.state, confirmed)
+    return (
+        after.learn(decided.proposal_number, decided.state),
+        sent,
+        (decided.proposal_number, decided.state, confirmed),
+    )
 
 
 @attrs.frozen(cache_hash=True, slots=False)
 class World:
-    """`sent`: (proposer, Ask) that may yet arrive; `voted`: (ballot, state, member) of all acceptances there ever were;
+    """`sent`: (proposer, Ask) that may yet arrive; `voted`: (proposal_number, state, member) of all acceptances there ever were;
     `confirmed`: changes that a proposer told to be decided; the rest counts what may still happen."""
 
     votes: tuple
@@ -217,10 +237,14 @@
         for sender, ask in world.sent:
             for machine in self._asked_machines(world, sender, ask):
                 yield from self._arrive(world, sender, ask, machine)
-        for ballot, state in chosen(world.voted):
+        for proposal_number, state in chosen(world.voted):
             for number, proposer in enumerate(world.proposers):
-                if proposer.ballot is None and ballot > proposer.known[0] and len(world.begun) < len(self.names):
-                    yield evolve(world, number, proposer.learn(ballot, state))
+                if (
+                    proposer.proposal_number is None
+                    and proposal_number > proposer.known[0]
+                    and len(world.begun) < len(self.names)
+                ):
+                    yield evolve(world, number, proposer.learn(proposal_number, state))
         if world.wipes:
             for machine in range(3):
                 yield self._wipe(world, machine)
@@ -237,7 +261,7 @@
                 continue
             for number in (0, 1) if owner is None else (owner,):
                 proposer = world.proposers[number]
-                if proposer.ballot is None and self._may_begin(world, name, proposer, world.votes[number]):
+                if proposer.proposal_number is None and self._may_begin(world, name, proposer, world.votes[number]):
                     yield self._sent(world, number, *begin(proposer, name, world.votes[number]), name)
         for number, proposer in enumerate(world.proposers):
             if world.again and proposer.pending:
@@ -269,7 +293,7 @@
             return  # its proposer goes on as if it were lost
         stored = evolve(world, votes=(*world.votes[:machine], made, *world.votes[machine + 1 :]))
         if Accepted in kinds:
-            stored = evolve(stored, voted=world.voted | {(ask.ballot, ask.state, vote.member)})
+            stored = evolve(stored, voted=world.voted | {(ask.proposal_number, ask.state, vote.member)})
         yield self._heard(stored, sender, before + after)
         if world.losses and made != vote:
             yield evolve(stored, losses=world.losses - 1)
@@ -284,8 +308,8 @@
             if ask is not None:
                 world = evolve(world, sent=self._asked(world, sender, ask))
             if decided is not None:
-                ballot, state, confirmed = decided
-                voted = {(ballot, state, member) for member in state.electorate}
+                proposal_number, state, confirmed = decided
+                voted = {(proposal_number, state, member) for member in state.electorate}
                 world = evolve(world, voted=world.voted | voted, confirmed=world.confirmed | confirmed)
         return world
 
@@ -295,7 +319,7 @@
         made = Vote(member if self.reuses else Member(member.ip, 9))
         after = evolve(world, votes=(*world.votes[:machine], made, *world.votes[machine + 1 :]), wipes=0)
         if machine < len(world.proposers):
-            fresh = Begun(world.proposers[machine].incarnation + 10, known=(START, FOUNDED))
+            fresh = Begun(world.proposers[machine].incarnation + 10, known=NumberedState(START, FOUNDED))
             after = evolve(after, machine, fresh)
         return after
 
@@ -317,10 +341,10 @@
 
 @cache
 def chosen(voted):
-    """(ballot, state) of all that a majority of each group that has to agree has accepted."""
+    """(proposal_number, state) of all that a majority of each group that has to agree has accepted."""
     members = {}
-    for ballot, state, member in voted:
-        members.setdefault((ballot, state), set()).add(member)
+    for proposal_number, state, member in voted:
+        members.setdefault((proposal_number, state), set()).add(member)
     return tuple(pair for pair, those in members.items() if pair[1].has_quorum(those))
 
 
--- a/tests/cluster/control_planes.py
+++ b/tests/cluster/control_planes.py
@@ -3,22 +3,20 @@
 
 import heapq
 import random
+from functools import partial
 
 import attrs
-import msgspec
 
-from fernyard.cluster.common.lease import LeaseCandidate, LeaseVoter
-from fernyard.cluster.control_plane import events
-from fernyard.cluster.control_plane.messages import MessageReceived, StoredBody, decode, encode
-from fernyard.cluster.control_plane.proposer import ROUND
+from fernyard.cluster.common.messages import LeaseReply, LeaseRequest, Message
+from fernyard.cluster.control_plane import commands, events
+from fernyard.cluster.control_plane.learner import SERVED_WITHIN
+from fernyard.cluster.control_plane.lease_keeper import LeaseKeeper
+from fernyard.cluster.control_plane.messages import StoredBody, decode, encode
+from fernyard.cluster.control_plane.operator_calls import CALL_TIMEOUT, FORWARDED_WITHIN
+from fernyard.cluster.control_plane.proposer import ROUND_TIMEOUT
 from fernyard.cluster.control_plane.recovery import recover
-from fernyard.cluster.control_plane.replica import (
-    CALLED_WITHIN,
-    CARRIED_WITHIN,
-    SERVED_WITHIN,
-    Replica,
-    ReplicaSettings,
-)
+from fernyard.cluster.control_plane.replica import Replica
+from fernyard.cluster.control_plane.replica_context import ReplicaSettings
 from fernyard.cluster.control_plane.state import ConfigurationId
 
 TICK = 0.2
@@ -28,28 +26,10 @@
 OBSERVED = 0.1  # seconds between the asks of gateways
 HAND_OVER = 4.0  # seconds that a machine which leaves waits at most
 IN_DOUBT = (
-    CARRIED_WITHIN + CALLED_WITHIN + ROUND
+    FORWARDED_WITHIN + CALL_TIMEOUT + ROUND_TIMEOUT
 )  # seconds within which an order without a clear answer takes effect, or never
 
 
-@attrs.define
-class SimulatedLeaseRequest:
-    """The lease's ask and its answer, as messages of the simulation."""
-
-    node: str
-    ask: int
-    epoch: int
-
-
-@attrs.define
-class SimulatedLeaseReply:
-    node: str
-    ask: int
-    epoch: int
-    granted: bool
-    seen: int
-
-
 @attrs.define
 class Answer:
     """What an operator was told: `status` None while nothing was."""
@@ -59,7 +39,7 @@
     at: float
     status: int | None = None
     body: bytes = b""
-    taken: ConfigurationId | None = None
+    conflicting: ConfigurationId | None = None
     ended: float = 0.0
 
 
@@ -72,8 +52,7 @@
     ip: str
     areas: dict = attrs.Factory(dict)
     replica: Replica | None = None
-    granter: LeaseVoter | None = None
-    holder: LeaseCandidate | None = None
+    lease: LeaseKeeper | None = None
     incarnation: int = 0
     frozen: list | None = None
     disk: str = "well"
@@ -90,7 +69,7 @@
         self.now, self.random, self.kind = 0.0, random.Random(seed), replica
         self.delay, self.loss, self.doubled = delay, loss, doubled
         self.faults = faults if faults is not None else (len(names) - 1) // 2
-        self.machines, self.cut, self.events, self.number = {}, set(), [], 0
+        self.machines, self.cut, self.queue, self.number = {}, set(), [], 0
         self.answers, self.tickets, self.bytes_sent, self.served_wrong = [], {}, 0, []
         for name in names:
             self.add(name)
@@ -117,8 +96,7 @@
         disk = self.random.getrandbits(48)
         recovered = recover(dict(machine.areas), settings, bootstrap and not machine.areas, disk)
         machine.replica = self.kind(self.now, settings, machine.incarnation, recovered.vote, recovered.bodies)
-        machine.granter = LeaseVoter(self.now, bootstrap)
-        machine.holder = LeaseCandidate(str(machine.replica.member))
+        machine.lease = LeaseKeeper(self.now, machine.replica, bootstrap, partial(self.send_from, machine))
         # Processes beat out of step.
         self.at(self.now + TICK * self.random.random(), self.tick, machine, machine.incarnation)
 
@@ -138,8 +116,8 @@
         """What was on its way to the disk may have got there, and what was erased may be back."""
         machine = self.machines[name]
         if machine.replica is not None and machine.disk != "full":
-            for order in machine.writing[: self.random.randrange(len(machine.writing) + 1)]:
-                machine.areas[order.area] = order.content
+            for command in machine.writing[: self.random.randrange(len(machine.writing) + 1)]:
+                machine.areas[command.area] = command.content
             for area, content in machine.erased.items():
                 if self.random.random() < 0.5:
                     machine.areas.setdefault(area, content)
@@ -193,12 +171,12 @@
 
     def at(self, moment, call, *arguments):
         self.number += 1
-        heapq.heappush(self.events, (moment, self.number, call, arguments))
+        heapq.heappush(self.queue, (moment, self.number, call, arguments))
 
     def run(self, seconds):
         end = self.now + seconds
-        while self.events and self.events[0][0] <= end:
-            self.now, _, call, arguments = heapq.heappop(self.events)
+        while self.queue and self.queue[0][0] <= end:
+            self.now, _, call, arguments = heapq.heappop(self.queue)
             call(*arguments)
         self.now = end
 
@@ -218,23 +196,13 @@
             machine.frozen.append((self.tick, (machine, incarnation)))
             return
         self.tell(machine, events.Tick())
-        self.lease(machine)
+        self.renew_lease(machine)
         self.at(self.now + TICK, self.tick, machine, incarnation)
 
-    def lease(self, machine):
-        replica, holder = machine.replica, machine.holder
-        voters = replica.state.voters if replica.state is not None else ()
-        if replica.member in voters and replica.may_ask_lease():
-            names = [str(voter) for voter in voters]
-            if holder.gives_up(self.now):
-                machine.granter.release(self.now, holder.node)
-            ask = holder.due(self.now, voters.index(replica.member), machine.granter.until, machine.granter.epoch)
-            if ask is not None:
-                if machine.granter.ask(self.now, holder.node, ask[1]):
-                    holder.granted(self.now, holder.node, *ask, True, names)
-                for voter in voters:
-                    self.send(machine, voter.ip, SimulatedLeaseRequest(holder.node, *ask))
-        self.tell(machine, events.LeaseChanged(holder.holds(self.now), 0))
+    def renew_lease(self, machine):
+        lease = machine.lease
+        lease.renew(self.now, lease.voter.epoch)
+        self.tell(machine, events.LeaseChanged(lease.holds(self.now), 0))
 
     # Gateways --------------------------------------------------------------------------------------------------------
 
@@ -245,7 +213,7 @@
 
     def ask_served(self, machine):
         """What a gateway is handed out lacks nothing that was confirmed before a majority had to be met."""
-        state = machine.replica.served(self.now) if machine.replica is not None else None
+        state = machine.replica.served_state(self.now) if machine.replica is not None else None
         if state is None:
             return
         confirmed = max(
@@ -267,40 +235,40 @@
         if machine.frozen is not None:
             machine.frozen.append((self.tell, (machine, event)))
             return
-        for order in machine.replica.step(self.now, event):
-            self.carry_out(machine, order)
-
-    def carry_out(self, machine, order):
-        kind = type(order)
-        if kind is events.StoreArea:
-            machine.writing.append(order)
-            self.at(self.now + DISK, self.save, machine, machine.incarnation, order)
-        elif kind is events.EraseArea:
-            if order.area in machine.areas:
-                machine.erased[order.area] = machine.areas.pop(order.area)
-        elif kind is events.SendMessage:
-            self.send(machine, order.ip, decode(encode(order.message)))
-        elif kind is events.PushBody:
-            self.send(machine, order.ip, StoredBody(order.id, order.body))
-        elif kind is events.FetchBody:
-            self.fetch(machine, order)
-        elif kind is events.CompleteCall:
-            self.reply(order)
-        elif kind is events.PublishState:
+        for command in machine.replica.step(self.now, event):
+            self.execute(machine, command)
+
+    def execute(self, machine, command):
+        kind = type(command)
+        if kind is commands.StoreArea:
+            machine.writing.append(command)
+            self.at(self.now + DISK, self.save, machine, machine.incarnation, command)
+        elif kind is commands.EraseArea:
+            if command.area in machine.areas:
+                machine.erased[command.area] = machine.areas.pop(command.area)
+        elif kind is commands.SendMessage:
+            self.send(machine, command.ip, decode(encode(command.message)))
+        elif kind is commands.PushBody:
+            self.send(machine, command.ip, StoredBody(command.id, command.body))
+        elif kind is commands.FetchBody:
+            self.fetch(machine, command)
+        elif kind is commands.CompleteCall:
+            self.reply(command)
+        elif kind is commands.PublishState:
             machine.published.append((self.now, machine.replica.state))
 
-    def save(self, machine, incarnation, order):
+    def save(self, machine, incarnation, command):
         if machine.replica is None or machine.incarnation != incarnation:
             return
         if machine.disk == "stalled":
-            machine.stalled.append((self.save, (machine, incarnation, order)))
+            machine.stalled.append((self.save, (machine, incarnation, command)))
             return
-        machine.writing = [other for other in machine.writing if other is not order]
-        kept = machine.disk == "well"
-        if kept:
-            machine.areas[order.area] = order.content
-            machine.erased.pop(order.area, None)
-        self.tell(machine, events.AreaStored(order.area, kept))
+        machine.writing = [other for other in machine.writing if other is not command]
+        succeeded = machine.disk == "well"
+        if succeeded:
+            machine.areas[command.area] = command.content
+            machine.erased.pop(command.area, None)
+        self.tell(machine, events.AreaStored(command.area, succeeded))
 
     def disk(self, name, how):
         """`how`: well, stalled or full."""
@@ -318,13 +286,16 @@
         other = self.by_ip(ip)
         if other is None or other is machine:
             return
-        if isinstance(message, msgspec.Struct):
+        if isinstance(message, Message | StoredBody) and not isinstance(message, LeaseRequest | LeaseReply):
             self.bytes_sent += len(encode(message))
         copies = 0 if self.random.random() < self.loss else 2 if self.random.random() < self.doubled else 1
         for _ in range(copies):
             delay = self.delay * (0.7 + 0.6 * self.random.random())
             self.at(self.now + delay, self.arrive, machine, other, message)
 
+    def send_from(self, machine, message, ip):
+        self.send(machine, ip, message)
+
     def arrive(self, machine, other, message):
         if machine.name + other.name in self.cut or other.replica is None:
             return
@@ -333,28 +304,22 @@
             return
         if isinstance(message, StoredBody):
             self.tell(other, events.BodyReceived(message.id, message.body))
-        elif isinstance(message, SimulatedLeaseRequest):
-            granted = other.granter.ask(self.now, message.node, message.epoch)
-            seen = other.granter.epoch
-            answer = SimulatedLeaseReply(str(other.replica.member), message.ask, message.epoch, granted, seen)
-            self.send(other, machine.ip, answer)
-        elif isinstance(message, SimulatedLeaseReply):
-            if not message.granted and message.seen > message.epoch:
-                other.holder.refused_for(message.seen)
-            names = [str(voter) for voter in other.replica.state.voters] if other.replica.state else []
-            other.holder.granted(self.now, message.node, message.ask, message.epoch, message.granted, names)
+        elif isinstance(message, LeaseRequest):
+            self.send(other, machine.ip, other.lease.on_request(self.now, message))
+        elif isinstance(message, LeaseReply):
+            other.lease.on_reply(self.now, message)
         else:
-            self.tell(other, MessageReceived(machine.ip, message))
+            self.tell(other, events.MessageReceived(machine.ip, message))
 
-    def fetch(self, machine, order):
-        other = self.by_ip(order.ip)
+    def fetch(self, machine, command):
+        other = self.by_ip(command.ip)
         if other is None or other.replica is None or other.frozen is not None:
             return
         if {machine.name + other.name, other.name + machine.name} & self.cut:
             return
-        content = other.replica.bodies.content(order.id)
+        content = other.replica.bodies.content(command.id)
         if content:
-            self.at(self.now + 2 * self.delay, self.tell, machine, events.BodyReceived(order.id, content))
+            self.at(self.now + 2 * self.delay, self.tell, machine, events.BodyReceived(command.id, content))
 
     # Operators -------------------------------------------------------------------------------------------------------
 
@@ -373,10 +338,11 @@
         if self.tickets.get(ticket) is not None and machine.replica is not None and machine.incarnation == incarnation:
             self.tell(machine, events.CallExpired(ticket))
 
-    def reply(self, order):
-        answer = self.tickets.pop(order.ticket, None)
+    def reply(self, command):
+        answer = self.tickets.pop(command.ticket, None)
         if answer is not None:
-            answer.status, answer.body, answer.taken, answer.ended = order.status, order.body, order.taken, self.now
+            answer.status, answer.body, answer.ended = command.status, command.body, self.now
+            answer.conflicting = command.conflicting
 
     def put(self, name, version, text=""):
         body = f"v{version}{text}".encode()
@@ -487,7 +453,7 @@
         newest = max((state for _, _, state in decided), key=lambda state: state.revision, default=None)
         orders = [answer for answer in self.planes.answers if answer.what[0] == "evacuate"]
         for zone in {answer.what[1] for answer in orders if newest is not None}:
-            on = zone in newest.evacuated
+            on = zone in newest.evacuated_zones
             ends = [self._end(a) for a in orders if a.what[1:] == (zone, on)] + ([] if on else [0.0])
             after = [
                 a for a in orders if a.what[1:] == (zone, not on) and a.status == 200 and a.at > max(ends, default=-1)
--- a/tests/cluster/schedules.py
+++ b/tests/cluster/schedules.py
@@ -152,7 +152,7 @@
         return wrong + History(planes).check()
 
     def _served(self, name):
-        return self.planes.machines[name].replica.served(self.planes.now) is not None
+        return self.planes.machines[name].replica.served_state(self.planes.now) is not None
 
 
 def play(seed, steps=STEPS, **options):
--- a/tests/cluster/test_configuration.py
+++ b/tests/cluster/test_configuration.py
@@ -8,7 +8,7 @@
 from fernyard.cluster.common import settings
 from fernyard.cluster.common.errors import ConfigurationError, SettingsError
 from fernyard.cluster.control_plane import configuration
-from fernyard.cluster.control_plane.call_table import find
+from fernyard.cluster.control_plane.call_table import Bind, find
 
 
 def config(**changes):
@@ -219,19 +219,19 @@
         self.assertNotIn("k1", str(error))
 
     def test_calls(self):
-        for method, path, serves, wanted in (
-            ("PUT", "/-/config", "control", "put_config"),
-            ("GET", "/-/config", "control", "get_config"),
-            ("POST", "/-/evacuate/z", "control", "evacuate"),
-            ("DELETE", "/-/evacuate/z", "control", "take_back"),
+        for method, path, bind, wanted in (
+            ("PUT", "/-/config", "control", "put_configuration"),
+            ("GET", "/-/config", "control", "get_configuration"),
+            ("POST", "/-/evacuate/z", "control", "evacuate_zone"),
+            ("DELETE", "/-/evacuate/z", "control", "restore_zone"),
             ("PATCH", "/-/config", "control", 405),
             ("GET", "/-/evacuate/", "control", 404),
             ("GET", "/-/config", "dir", 404),
             ("GET", "/-/resolve", "dir", "resolve"),
         ):
-            found = find(method, path, serves)
-            told = 404 if found is None else 405 if found[0] is None else found[0].handler
-            self.assertThat(told, Equals(wanted), (method, path, serves))
+            found = find(method, path, Bind(bind))
+            handler = 404 if found is None else 405 if found.call is None else found.call.handler
+            self.assertThat(handler, Equals(wanted), (method, path, bind))
 
 
 TOLD = {
--- a/tests/cluster/test_control_guards.py
+++ b/tests/cluster/test_control_guards.py
@@ -10,6 +10,7 @@
 from fernyard.accord.acceptor import StoreVote
 from fernyard.cluster.control_plane import replica
 from fernyard.cluster.control_plane.bodies import BodyCache
+from fernyard.cluster.control_plane.proposer import ChangeKey
 from fernyard.cluster.control_plane.recovery import recover
 from fernyard.cluster.control_plane.replica import Replica
 from fernyard.cluster.control_plane.state import (
@@ -21,15 +22,20 @@
     SetConfiguration,
     Vote,
 )
+from fernyard.cluster.control_plane.voter import Voter
 
 from . import control_planes
 from .control_planes import ControlPlanes, History
 from .schedules import SYNC
 
-CARRY_OUT, SET_CONFIGURATION = Replica._carry_out, SetConfiguration.apply
+EXECUTE, SET_CONFIGURATION = Voter._execute, SetConfiguration.apply
 HAS_QUORUM = ControlState.has_quorum
 
 
+class LateKey(ChangeKey, frozen=True):
+    """Names a change that comes too late."""
+
+
 def begun():
     planes = ControlPlanes()
     planes.run(SYNC)
@@ -74,7 +80,7 @@
     return History(planes).check()
 
 
-def ballot_of_a_former_life():
+def proposal_number_of_a_former_incarnation():
     """A round is accepted by one alone, its proposer loses power before its own disk kept anything, and begins anew."""
     planes = begun()
     leader = next(m.name for m in planes.running() if m.replica.lease_held)
@@ -123,7 +129,7 @@
     planes.kill(third.name)
     planes.run(SYNC)
     epoch = leader.replica.state.epoch
-    leader.replica.proposer.submit(planes.now, ("late",), late)
+    leader.replica.proposer.submit(planes.now, LateKey(), late)
     planes.run(1.0)
     return [] if leader.replica.state.epoch == epoch else ["a change of an earlier epoch was made"]
 
@@ -184,10 +190,10 @@
 
 
 def answer_before_stored(self, outcomes):
-    CARRY_OUT(self, outcomes)
+    EXECUTE(self, outcomes)
     for outcome in outcomes:
         if isinstance(outcome, StoreVote) and self.vote is not None:
-            self._carry_out(self.acceptor.stored(outcome.number, True))
+            self._execute(self.acceptor.stored(outcome.number, True))
 
 
 def same_identity(areas, settings, bootstrap, disk):
@@ -198,7 +204,7 @@
 
 
 def replace_whatever_the_epoch(self, state):
-    voters = {*state.voters, self.joining} - {self.leaving}
+    voters = {*state.voters, self.added} - {self.removed}
     fields = {"epoch": state.epoch + 1, "voters": tuple(sorted(voters)), "previous": state.voters}
     return msgspec.structs.replace(state, revision=state.revision + 1, **fields)
 
@@ -215,7 +221,7 @@
 
 
 def contact_is_now(self):
-    return self.now if self.decided is not None else None
+    return self.context.now if self.decided is not None else None
 
 
 def patch(owner, name, new):
@@ -226,18 +232,18 @@
 GUARDS = {
     "a vote is stored before it is answered": (
         stalled_disks_lose_power,
-        patch(Replica, "_carry_out", answer_before_stored),
+        patch(Voter, "_execute", answer_before_stored),
     ),
     "an empty disk is another member": (
         wiped_meets_one_that_missed_it,
         patch(control_planes, "recover", same_identity),
     ),
-    "each incarnation has ballots of its own": (
-        ballot_of_a_former_life,
+    "each incarnation has proposal numbers of its own": (
+        proposal_number_of_a_former_incarnation,
         patch(ControlPlanes, "incarnation_of", same_incarnation),
     ),
     "a read meets a majority": (cut_off_reads, patch(Replica, "confirmed_at", property(contact_is_now))),
-    "served of late": (cut_off_serves, patch(Replica, "served", lambda self, now: self.state)),
+    "served of late": (cut_off_serves, patch(Replica, "served_state", lambda self, now: self.state)),
     "epoch and term are compared": (
         late_change_of_members,
         patch(ReplaceMember, "apply", replace_whatever_the_epoch),
@@ -246,7 +252,7 @@
     "one number, one configuration": (one_number_two_contents, patch(SetConfiguration, "apply", take_any_number)),
     "no order from before a process stood still": (
         order_from_before,
-        patch(replica, "AWAKE", 0.0),
+        patch(replica, "RESUME_GRACE", 0.0),
     ),
     "the former members of a decided change are not needed": (
         second_loss_before_the_end_of_a_replacement,
--- a/tests/cluster/test_control_state.py
+++ b/tests/cluster/test_control_state.py
@@ -8,17 +8,19 @@
 from testtools.matchers import Equals, GreaterThan, LessThan
 
 from fernyard.cluster.common.registry import Registry
-from fernyard.cluster.control_plane import events
-from fernyard.cluster.control_plane.bodies import UNUSED, area_of
+from fernyard.cluster.control_plane import commands, events
+from fernyard.cluster.control_plane.bodies import UNUSED_RETENTION, area_of
+from fernyard.cluster.control_plane.leadership import MembershipKey
+from fernyard.cluster.control_plane.learner import SERVED_WITHIN
 from fernyard.cluster.control_plane.messages import (
     Accept,
-    MessageReceived,
     Prepare,
     Promise,
     ReplicaHeartbeat,
 )
 from fernyard.cluster.control_plane.peer_table import PeerTable
-from fernyard.cluster.control_plane.replica import SERVED_WITHIN, VOTE, Replica, ReplicaSettings
+from fernyard.cluster.control_plane.replica import Replica
+from fernyard.cluster.control_plane.replica_context import ReplicaSettings
 from fernyard.cluster.control_plane.state import (
     ConfigurationId,
     Member,
@@ -28,6 +30,7 @@
     Vote,
     founding_state,
 )
+from fernyard.cluster.control_plane.voter import VOTE_AREA
 
 from .control_planes import DISK, LINK, TICK, ControlPlanes, History
 from .schedules import SYNC
@@ -60,7 +63,7 @@
 
 
 def saved(orders):
-    return [order for order in orders if type(order) is events.StoreArea]
+    return [order for order in orders if type(order) is commands.StoreArea]
 
 
 class TestOneReplica(testtools.TestCase):
@@ -75,23 +78,25 @@
         return replica
 
     def test_a_heartbeat_overtaken_by_another_with_the_same_ask_does_not_take_its_place(self):
-        contacts, own = PeerTable(1), Vote(FOUNDED.voters[0], None, ProposalNumber(0, 0), FOUNDED)
-        ask = contacts.next_ask(10.0)
-        contacts.heard(10.1, heartbeat(5, ask, ProposalNumber(3, 2)))
-        contacts.heard(
+        peers, own = PeerTable(1), Vote(FOUNDED.voters[0], None, ProposalNumber(0, 0), FOUNDED)
+        ask = peers.next_sequence(10.0)
+        peers.record_heartbeat(10.1, heartbeat(5, ask, ProposalNumber(3, 2)))
+        peers.record_heartbeat(
             10.2, heartbeat(5, 9, ProposalNumber(0, 0), acknowledged_incarnation=77)
         )  # sent before, to our former incarnation
-        self.assertThat(contacts.confirmed_at(10.2, own, ProposalNumber(0, 0), FOUNDED), Equals(None))
+        self.assertThat(peers.confirmed_at(10.2, own, ProposalNumber(0, 0), FOUNDED), Equals(None))
 
     def test_a_body_stays_while_a_vote_for_it_is_on_its_way_to_the_disk(self):
         replica = self.replica()
         for order in saved(replica.step(1.0, events.BodyReceived(ID, b"one"))):
             replica.step(1.0, events.AreaStored(order.area, True))
         state = msgspec.structs.replace(FOUNDED, configuration=ID, revision=1)
-        (vote,) = saved(replica.step(2.0, MessageReceived(IPS[1], Accept(ProposalNumber(1, 2), state))))
-        orders = replica.step(2.0 + UNUSED, events.Tick()) + replica.step(2.0 + UNUSED, events.AreaStored(VOTE, True))
+        (vote,) = saved(replica.step(2.0, events.MessageReceived(IPS[1], Accept(ProposalNumber(1, 2), state))))
+        orders = replica.step(2.0 + UNUSED_RETENTION, events.Tick()) + replica.step(
+            2.0 + UNUSED_RETENTION, events.AreaStored(VOTE_AREA, True)
+        )
         self.assertThat(replica.vote.state.configuration, Equals(ID))
-        self.assertNotIn(events.EraseArea(area_of(ID)), orders)
+        self.assertNotIn(commands.EraseArea(area_of(ID)), orders)
 
     def test_a_vote_read_from_the_disk_counts_also_where_its_configuration_is_lost(self):
         state = msgspec.structs.replace(FOUNDED, configuration=ID, revision=1)
@@ -101,11 +106,13 @@
     def test_a_round_that_stood_still_with_its_process_proposes_nothing(self):
         replica = self.replica()
         orders = replica.step(1.0, events.EvacuationSubmitted(7, "z1", True))
-        prepare = next(o.message for o in orders if type(o) is events.SendMessage and type(o.message) is Prepare)
-        promise = Promise(FOUNDED.voters[1], prepare.ballot, ProposalNumber(0, 0), FOUNDED)
-        replica.step(1.0, events.AreaStored(VOTE, True))
-        orders = replica.step(1.0 + CUT_OFF, MessageReceived(IPS[1], promise))
-        self.assertThat([o for o in orders if type(o) is events.SendMessage and type(o.message) is Accept], Equals([]))
+        prepare = next(o.message for o in orders if type(o) is commands.SendMessage and type(o.message) is Prepare)
+        promise = Promise(FOUNDED.voters[1], prepare.proposal_number, ProposalNumber(0, 0), FOUNDED)
+        replica.step(1.0, events.AreaStored(VOTE_AREA, True))
+        orders = replica.step(1.0 + CUT_OFF, events.MessageReceived(IPS[1], promise))
+        self.assertThat(
+            [o for o in orders if type(o) is commands.SendMessage and type(o.message) is Accept], Equals([])
+        )
 
 
 class TestMembers(testtools.TestCase):
@@ -215,12 +222,6 @@
             self.assertThat(planes.voters("a"), Equals("abc"), seed)
 
 
-if __name__ == "__main__":
-    import unittest
-
-    unittest.main()
-
-
 class TestStandingStill(testtools.TestCase):
     """Point 5, and what point 1 says of a frozen machine: nothing from before is done after it wakes."""
 
@@ -245,7 +246,7 @@
             planes.run(CUT_OFF - SYNC)
             planes.thaw(holder)
             planes.run(SYNC)
-            self.assertThat(planes.state(holder).evacuated, Equals([]), sent_to_frozen)
+            self.assertThat(planes.state(holder).evacuated_zones, Equals([]), sent_to_frozen)
             self.assertThat(History(planes).check(), Equals([]), sent_to_frozen)
 
     def test_a_holder_of_the_lease_that_stood_still_does_nothing_under_its_old_term(self):
@@ -260,7 +261,7 @@
             members.epoch, term, planes.machines[other].replica.member, planes.machines["n"].replica.member
         )
         planes.freeze(holder)
-        frozen.frozen.append((frozen.replica.proposer.submit, (planes.now + CUT_OFF, ("member",), late)))
+        frozen.frozen.append((frozen.replica.proposer.submit, (planes.now + CUT_OFF, MembershipKey(), late)))
         registry, follower = Registry(), Registry()
         registry.write(term, {}, {})
         planes.run(CUT_OFF)
@@ -319,7 +320,7 @@
             planes.run(0.9)
             self.assertThat(answer.status, Equals(200), version)
             if trouble != "freeze" and planes.now - began > SERVED_WITHIN:
-                self.assertIsNone(victim.replica.served(planes.now), version)
+                self.assertIsNone(victim.replica.served_state(planes.now), version)
         self.assertThat({a.status for a in told if a.ended < planes.now} - {503, None}, Equals(set()))
         planes.join()
         planes.thaw(victim.name)
@@ -357,8 +358,8 @@
                     answers.append(planes.put(second, 5, "y"))
                     planes.run(1.0)
                     self.assertThat(sorted(a.status for a in answers), Equals([200, 409]), (delay, pause, first))
-                    taken = next(a for a in answers if a.status == 409).taken
-                    self.assertThat(taken, Equals(planes.state("c").configuration))
+                    conflicting = next(a for a in answers if a.status == 409).conflicting
+                    self.assertThat(conflicting, Equals(planes.state("c").configuration))
                     self.check(planes)
 
     def test_a_lost_answer_retries_elsewhere_and_a_restart_of_all(self):
@@ -454,7 +455,7 @@
             if version % 50 == 40:
                 self.come_back(planes, hurt)
             if version in (10, 100, 500):
-                planes.run(SYNC + UNUSED)
+                planes.run(SYNC + UNUSED_RETENTION)
                 before, began = planes.bytes_sent, planes.now
                 planes.run(10.0)
                 sent[version] = (planes.bytes_sent - before) / (planes.now - began)
--- a/tests/cluster/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -28,25 +28,25 @@
             ([1, 10 * size, 1, 9 * size + 1, 9 * size], [True, True, False, True, False]),
         ):
             window = ReplayWindow()
-            self.assertThat([window.take(number) for number in numbers], Equals(taken), numbers)
+            self.assertThat([window.accept(number) for number in numbers], Equals(taken), numbers)
 
 
 class TestLives(testtools.TestCase):
     def test_a_former_life_is_told_apart_and_a_wrong_guess_heals(self):
-        late = Incarnations.LATEST + 0.1
+        late = Incarnations.MAX_DELAY + 0.1
         for heard, holds in (
             ([(0, "a"), (1, "a")], [True, True]),
             ([(0, "a"), (1, "b"), (1.1, "a"), (2, "b")], [True, True, False, True]),
             ([(0, "b"), (0.1, "a"), (0.2, "b"), (late + 0.1, "b")], [True, True, False, True]),
         ):
             incarnations = Incarnations()
-            self.assertThat([incarnations.hear(*told) for told in heard], Equals(holds), heard)
+            self.assertThat([incarnations.accept(*told) for told in heard], Equals(holds), heard)
 
     def test_bounded(self):
         incarnations = Incarnations()
         for number in range(100):
-            incarnations.hear(number, number)
-        self.assertThat(len(incarnations.incarnations), Equals(Incarnations.KEPT))
+            incarnations.accept(number, number)
+        self.assertThat(len(incarnations.incarnations), Equals(Incarnations.REMEMBERED))
 
 
 class TestTotals(testtools.TestCase):
@@ -65,7 +65,7 @@
         for changed, taken in self.CASES:
             quota, ledger = Quota("n", 7), Ledger("c", 5)
             for incarnation in 4, 5:
-                quota.incarnations.setdefault("c", Incarnations()).hear(0.0, incarnation)
+                quota.incarnations.setdefault("c", Incarnations()).accept(0.0, incarnation)
             count, _ = quota.ask(0.1, TENANT, "c", NO_VERSION, "waits")
             total = msgspec.structs.replace(ledger.add(0.1, count, NO_VERSION), **changed)
             pending = quota.answered(0.2, total)
@@ -192,11 +192,11 @@
 
 
 GUARDS = {
-    "each ask once": lambda: mock.patch.object(ReplayWindow, "take", lambda self, number: True),
+    "each ask once": lambda: mock.patch.object(ReplayWindow, "accept", lambda self, number: True),
     "an answer bears the incarnation that asked": lambda: mock.patch.object(
         Quota, "_answers", lambda self, pending, total: True
     ),
-    "former incarnations are told apart": lambda: mock.patch.object(quota_module.Incarnations, "hear", without_lives),
+    "former incarnations are told apart": lambda: mock.patch.object(quota_module.Incarnations, "accept", without_lives),
 }
 
 
--- a/tests/cluster/test_golden.py
+++ b/tests/cluster/test_golden.py
@@ -34,14 +34,13 @@
     decode_configuration_update,
     decode_registry_update,
 )
-from fernyard.cluster.control_plane import events
+from fernyard.cluster.control_plane import commands, events
 from fernyard.cluster.control_plane.messages import (
     Accept,
     Accepted,
     Decision,
     ForwardedChange,
     ForwardedChangeResult,
-    MessageReceived,
     Prepare,
     Promise,
     Refusal,
@@ -52,7 +51,8 @@
     encode,
 )
 from fernyard.cluster.control_plane.recovery import recover
-from fernyard.cluster.control_plane.replica import Replica, ReplicaSettings
+from fernyard.cluster.control_plane.replica import Replica
+from fernyard.cluster.control_plane.replica_context import ReplicaSettings
 from fernyard.cluster.control_plane.state import (
     BeginTerm,
     ConfigurationId,
@@ -65,7 +65,7 @@
     SetConfiguration,
     SetEvacuation,
     Vote,
-    ZoneOrder,
+    ZoneEvacuation,
 )
 from fernyard.cluster.control_plane.store import Store
 
@@ -76,7 +76,7 @@
 MEMBERS = (Member("10.0.0.1", 1), Member("10.0.0.2", 1), Member("10.0.0.3", 99))
 BALLOT, HIGHER = ProposalNumber(3, 41), ProposalNumber(4, 17)
 STATE = ControlState(
-    9, ID, (OLDER,), (ZoneOrder("z1", 2, True), ZoneOrder("z2", 1, False)), 2, MEMBERS, MEMBERS[:2], 5, 77
+    9, ID, (OLDER,), (ZoneEvacuation("z1", 2, True), ZoneEvacuation("z2", 1, False)), 2, MEMBERS, MEMBERS[:2], 5, 77
 )
 VOTE = Vote(MEMBERS[0], HIGHER, BALLOT, STATE)
 PLAN = Plan(
@@ -150,14 +150,14 @@
     events.LeaseChanged: "lease",
     events.ShutdownRequested: "leave",
     events.Tick: "tick",
-    MessageReceived: "received",
-    events.StoreArea: "save",
-    events.EraseArea: "erase",
-    events.SendMessage: "send",
-    events.PushBody: "push",
-    events.FetchBody: "fetch",
-    events.CompleteCall: "reply",
-    events.PublishState: "publish",
+    events.MessageReceived: "received",
+    commands.StoreArea: "save",
+    commands.EraseArea: "erase",
+    commands.SendMessage: "send",
+    commands.PushBody: "push",
+    commands.FetchBody: "fetch",
+    commands.CompleteCall: "reply",
+    commands.PublishState: "publish",
 }
 SEEDS = range(12)
 EVERY = 200  # steps between two digests of a run
@@ -165,8 +165,7 @@
 
 def fields_of(value):
     """The values of an event's or command's fields, in their order, as bytes."""
-    names = [name for name in getattr(value, "__slots__", ()) if not name.startswith("__")]
-    return [encode(getattr(value, name)) for name in names]
+    return [encode(content) for content in msgspec.structs.astuple(value)]
 
 
 class Recorder:
@@ -175,9 +174,9 @@
     def __init__(self):
         self.digest, self.steps, self.lines = hashlib.sha256(), 0, []
 
-    def note(self, replica, now, event, commands):
-        self.digest.update(f"{replica.settings.ip} {now:.6f}".encode())
-        for value in (event, *commands):
+    def note(self, replica, now, event, returned):
+        self.digest.update(f"{replica.context.settings.ip} {now:.6f}".encode())
+        for value in (event, *returned):
             self.digest.update(LABELS[type(value)].encode())
             for content in fields_of(value):
                 self.digest.update(content)
@@ -191,9 +190,9 @@
 
         class RecordedReplica(Replica):
             def step(self, now, event):
-                commands = super().step(now, event)
-                recorder.note(self, now, event, commands)
-                return commands
+                returned = super().step(now, event)
+                recorder.note(self, now, event, returned)
+                return returned
 
         return RecordedReplica
 
--- a/tests/cluster/test_legacy.py
+++ b/tests/cluster/test_legacy.py
@@ -8,7 +8,7 @@
 
 from fernyard.cluster.common.errors import StateError
 from fernyard.cluster.control_plane.recovery import recover
-from fernyard.cluster.control_plane.replica import ReplicaSettings
+from fernyard.cluster.control_plane.replica_context import ReplicaSettings
 
 from .control_planes import ControlPlanes, History
 from .schedules import SYNC
@@ -63,7 +63,7 @@
                         read = planes.get(machine.name)
                         self.assertThat(planes.finish(read), Equals(200 if version else 404), (name, seed))
                         self.assertThat(read.body, Equals(f"v{version}".encode() if version else b""), (name, seed))
-                        self.assertThat(planes.state(machine.name).evacuated, Equals(zones), (name, seed))
+                        self.assertThat(planes.state(machine.name).evacuated_zones, Equals(zones), (name, seed))
                     self.assertThat(len(planes.state("a").voters), Equals(len(disks)), (name, seed))
                     self.assertThat(planes.finish(planes.put("a", 10)), Equals(200), (name, seed))
                     self.assertNotIn("state", planes.machines["a"].areas)
