--- a/tests/cluster/test_replica.py
+++ b/tests/cluster/test_replica.py
@@ -142,7 +142,7 @@
                         self.assertThat(read.body, Equals(f"v{version}".encode()), (name, machine.name))
                         self.assertThat(planes.state(machine.name).configuration.version, Equals(version), name)
                     if zones is not None:
-                        self.assertThat(planes.state(machine.name).evacuated, Equals(zones), (name, machine.name))
+                        self.assertThat(planes.state(machine.name).evacuated_zones, Equals(zones), (name, machine.name))
                 self.assertThat(History(planes).check(), Equals([]), name)
 
     def test_random_faults_lose_nothing_acknowledged(self):
--- a/tests/cluster/test_soft_state.py
+++ b/tests/cluster/test_soft_state.py
@@ -12,76 +12,75 @@
     decode_registry_update,
     encode,
 )
-from fernyard.cluster.common.registry import REMEMBERED, Registry
-from fernyard.cluster.control_plane.discovery import LONG_TTL, SILENT, TTL, Discovery
+from fernyard.cluster.common.registry import MAX_REMOVALS, Registry
+from fernyard.cluster.control_plane.discovery import HEARTBEAT_TIMEOUT, LONG_TTL, TTL, Discovery
 from fernyard.cluster.data_plane.subscription import Subscriber
 
 MEMBERS = ["a", "b", "c"]
 
 
 class TestLease(testtools.TestCase):
-    def votes(self, now, holders, granters, cut=(), later={}):
-        """One round of asks, sent all at once and then heard; who holds it then. `later`: who starts when."""
-        asks = []
-        for rank, (name, holder) in enumerate(sorted(holders.items())):
-            if now < later.get(name, 0.0):
-                continue
-            ask = holder.due(now, rank, granters[name].until, max(g.epoch for g in granters.values()))
-            if ask:
-                asks.append((name, *ask))
-        for name, *ask in asks:
-            # One's own vote is given when one asks, before any other's ask is heard.
-            holders[name].granted(now, name, *ask, granters[name].ask(now, name, ask[1]), MEMBERS)
-        for name, *ask in asks:
-            for other, granter in granters.items():
+    def hold_round(self, now, candidates, voters, cut=()):
+        """One round of requests, all sent at once and then received; names of the lease holders after it."""
+        requests = []
+        for rank, (name, candidate) in enumerate(sorted(candidates.items())):
+            epoch_seen = max(voter.epoch for voter in voters.values())
+            terms = candidate.next_request(now, rank, voters[name].granted_until, epoch_seen)
+            if terms:
+                requests.append((name, terms))
+        for name, terms in requests:
+            # One's own vote is given when one sends the request, before any other's request is received.
+            candidates[name].reply(now, name, terms, voters[name].request(now, name, terms.epoch), MEMBERS)
+        for name, terms in requests:
+            for other, voter in voters.items():
                 if other == name or name + other in cut:
                     continue
-                granted = granter.ask(now, name, ask[1])
+                granted = voter.request(now, name, terms.epoch)
                 if other + name not in cut:
-                    holders[name].granted(now, other, *ask, granted, MEMBERS)
-        return [name for name, holder in holders.items() if holder.holds(now)]
+                    candidates[name].reply(now, other, terms, granted, MEMBERS)
+        return [name for name, candidate in candidates.items() if candidate.holds(now)]
 
     def test_never_two(self):
         """Whatever links are cut, a second holder never begins before the first has stopped."""
         for cut in ((), ("ab", "ac"), ("ab",), ("bc", "ab"), ("ac", "bc", "ab")):
-            holders = {name: lease.LeaseCandidate(name) for name in MEMBERS}
-            granters = {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
+            candidates = {name: lease.LeaseCandidate(name) for name in MEMBERS}
+            voters = {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
             now, seen = 0.0, []
             while now < 12.0:
-                held = self.votes(now, holders, granters, cut if 3.0 < now < 8.0 else ())
+                held = self.hold_round(now, candidates, voters, cut if 3.0 < now < 8.0 else ())
                 self.assertTrue(len(held) <= 1, (cut, now, held))
                 seen += held
                 now = round(now + 0.05, 6)
             self.assertTrue(seen[-1:], cut)
 
     def test_cut_off_holder_stops_and_another_begins(self):
-        holders = {name: lease.LeaseCandidate(name) for name in MEMBERS}
-        granters = {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
+        candidates = {name: lease.LeaseCandidate(name) for name in MEMBERS}
+        voters = {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
         now = 0.0
         while now < 2.0:
-            self.votes(now, holders, granters)
+            self.hold_round(now, candidates, voters)
             now = round(now + 0.05, 6)
-        self.assertTrue(holders["a"].holds(now))
-        epoch = holders["a"].epoch
+        self.assertTrue(candidates["a"].holds(now))
+        epoch = candidates["a"].epoch
         while now < 6.0:
-            held = self.votes(now, holders, granters, ("ab", "ac"))
+            held = self.hold_round(now, candidates, voters, ("ab", "ac"))
             now = round(now + 0.05, 6)
         self.assertThat(held, Equals(["b"]))
-        self.assertTrue(holders["b"].epoch > epoch)
+        self.assertTrue(candidates["b"].epoch > epoch)
 
     def test_all_at_once(self):
         """All begin in the same moment and beat in step: one of them soon holds it, and keeps it."""
-        holders = {name: lease.LeaseCandidate(name) for name in MEMBERS}
-        granters = {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
-        held = [self.votes(0.2 * step, holders, granters) for step in range(40)]
+        candidates = {name: lease.LeaseCandidate(name) for name in MEMBERS}
+        voters = {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
+        held = [self.hold_round(0.2 * step, candidates, voters) for step in range(40)]
         self.assertThat(held[10:], Equals([held[10]] * 30))
         self.assertThat(len(held[10]), Equals(1))
 
     def test_one_whose_answers_are_cut_off_does_not_keep_the_votes(self):
         """Its asks arrive and take the votes, what is granted does not come back: another must get them in the end."""
-        holders = {name: lease.LeaseCandidate(name) for name in MEMBERS}
-        granters = {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
-        held = [self.votes(0.2 * step, holders, granters, ("ba", "ca")) for step in range(40)]
+        candidates = {name: lease.LeaseCandidate(name) for name in MEMBERS}
+        voters = {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
+        held = [self.hold_round(0.2 * step, candidates, voters, ("ba", "ca")) for step in range(40)]
         self.assertIn(["b"], held[:26])
 
     def test_a_vain_candidate_goes_on_granting_to_the_holder(self):
@@ -90,27 +89,27 @@
         holder, votes = lease.LeaseCandidate("a"), {name: lease.LeaseVoter(0.0, True) for name in MEMBERS}
 
         def renew(now, members):
-            ask = holder.due(now, 0, votes["a"].until, 0)
+            terms = holder.next_request(now, 0, votes["a"].granted_until, 0)
             for name in members:
-                granted = votes[name].ask(now, "a", ask[1])
+                granted = votes[name].request(now, "a", terms.epoch)
                 if not granted:
-                    holder.refused_for(votes[name].epoch)
-                holder.granted(now, name, *ask, granted, MEMBERS)
+                    holder.epoch_refused(votes[name].epoch)
+                holder.reply(now, name, terms, granted, MEMBERS)
 
         renew(0.0, "ab")
-        self.assertTrue(votes["c"].ask(0.1, "c", 9))
+        self.assertTrue(votes["c"].request(0.1, "c", 9))
         for step in range(1, 6):
             renew(0.3 * step, "abc")
         for step in range(6, 13):
             renew(0.3 * step, "ac")  # b is gone
         self.assertTrue(holder.holds(4.0))
 
-    def test_granter_that_restarted_waits(self):
-        granter = lease.LeaseVoter(5.0, False)
-        self.assertFalse(granter.ask(5.1, "a", 9))
-        self.assertTrue(granter.ask(5.0 + lease.LENGTH, "a", 9))
-        self.assertFalse(granter.ask(5.1 + lease.LENGTH, "b", 9))
-        self.assertFalse(granter.ask(9.0 + lease.LENGTH, "b", 8))
+    def test_voter_that_restarted_waits(self):
+        voter = lease.LeaseVoter(5.0, False)
+        self.assertFalse(voter.request(5.1, "a", 9))
+        self.assertTrue(voter.request(5.0 + lease.LEASE_DURATION, "a", 9))
+        self.assertFalse(voter.request(5.1 + lease.LEASE_DURATION, "b", 9))
+        self.assertFalse(voter.request(9.0 + lease.LEASE_DURATION, "b", 8))
 
 
 def worker(number, **told):
@@ -119,7 +118,7 @@
 
 class TestRegistry(testtools.TestCase):
     def follow(self, follower, leader, now=0.0, shift=0.0):
-        news = decode_registry_update(encode(leader.since(follower.mark, now)))
+        news = decode_registry_update(encode(leader.since(follower.version, now)))
         return follower.follow(news, now + shift)
 
     def test_snapshot_then_changes(self):
@@ -127,7 +126,7 @@
         leader.write(1, {"w1": worker(1), "w2": worker(2)}, {})
         self.assertTrue(self.follow(follower, leader))
         leader.write(1, {"w2": worker(2, draining=True), "w3": worker(3)}, {})
-        news = leader.since(follower.mark, 0.0)
+        news = leader.since(follower.version, 0.0)
         self.assertThat(sorted(news.workers), Equals(["w1", "w2", "w3"]))
         self.assertThat(news.workers["w1"], Equals(None))
         self.assertTrue(self.follow(follower, leader))
@@ -144,17 +143,17 @@
         for step in range(6):
             leader.write(1, {f"w{number}": worker(number, draining=number <= step) for number in range(50 - step)}, {})
             self.follow(follower if step % 2 else between, leader)
-        news = between.since(follower.mark, 0.0)
+        news = between.since(follower.version, 0.0)
         self.follow(between, leader)
         news = between.since((1, 3), 0.0)
         self.assertThat(news.since, Equals((1, 3)))
         self.assertTrue(0 < len(news.workers) < 12, news.workers)
-        self.assertTrue(self.follow(follower, between) or follower.mark == between.mark)
+        self.assertTrue(self.follow(follower, between) or follower.version == between.version)
         self.assertThat(follower.workers, Equals(leader.workers))
 
     def test_far_behind_takes_a_snapshot(self):
         leader, follower = Registry(), Registry()
-        for number in range(REMEMBERED + 9):
+        for number in range(MAX_REMOVALS + 9):
             leader.write(1, {f"w{number}": worker(number)}, {})
             if number == 0:
                 self.follow(follower, leader)
@@ -164,9 +163,9 @@
     def test_kept_on_disk_it_is_a_start_and_no_more(self):
         before, after = Registry(), Registry()
         before.write(3, {"w1": worker(1, cold=50.0)}, {})
-        after.follow(decode_registry_update(encode(before.keep())), 0.0)
+        after.follow(decode_registry_update(encode(before.to_store())), 0.0)
         self.assertThat(
-            (sorted(after.workers), after.workers["w1"].cold_until, after.mark), Equals((["w1"], 0.0, (3, 1)))
+            (sorted(after.workers), after.workers["w1"].cold_until, after.version), Equals((["w1"], 0.0, (3, 1)))
         )
         after.write(4, {"w2": worker(2)}, {})
         self.assertThat(sorted(after.workers), Equals(["w2"]))
@@ -214,21 +213,21 @@
 
     def test_same_few_wherever_asked(self):
         names = [f"n{number}" for number in range(40)]
-        named = rendezvous.few("key", names, 3)
-        self.assertThat(rendezvous.few("key", list(reversed(names)), 3), Equals(named))
+        named = rendezvous.top("key", names, 3)
+        self.assertThat(rendezvous.top("key", list(reversed(names)), 3), Equals(named))
         less = [name for name in names if name != named[0]]
-        self.assertThat(rendezvous.few("key", less, 3)[:2], Equals(named[1:]))
+        self.assertThat(rendezvous.top("key", less, 3)[:2], Equals(named[1:]))
 
 
-def heartbeat(node, zone="z1", region="r1", ready=True, leaving=False):
-    return GatewayHeartbeat(node, 1, f"ip-{node}", zone, region, f"{node}:80", ready, leaving, 0, NO_VERSION)
+def heartbeat(node, zone="z1", region="r1", ready=True, draining=False):
+    return GatewayHeartbeat(node, 1, f"ip-{node}", zone, region, f"{node}:80", ready, draining, 0, NO_VERSION)
 
 
 class TestDiscovery(testtools.TestCase):
     def test_resolve(self):
         watch = Discovery(0.0, {"z1": "r1", "z2": "r1", "z3": "r2"}, 40.0)
         for node, zone, region in (("a", "z1", "r1"), ("b", "z1", "r1"), ("c", "z2", "r1"), ("d", "z3", "r2")):
-            watch.heard(0.0, heartbeat(node, zone, region))
+            watch.record_heartbeat(0.0, heartbeat(node, zone, region))
         for zone, region, gone, wanted in (
             ("z1", "r1", (), ["a:80", "b:80"]),
             ("z2", "r1", (), ["a:80", "b:80", "c:80"]),
@@ -253,34 +252,34 @@
         ):
             watch = Discovery(0.0, {}, 40.0)
             for at in gateway_heard:
-                watch.heard(at, heartbeat("a"))
+                watch.record_heartbeat(at, heartbeat("a"))
             self.assertThat(watch.ttl(10.0, peers_heard), Equals(wanted), name)
 
     def test_one_behind_a_full_link_is_not_taken_off_for_it(self):
         watch = Discovery(0.0, {}, 40.0)
         for at in (0.0, 0.3, 0.6, 0.9, 1.2, 1.5):
-            watch.heard(at, heartbeat("steady"))
+            watch.record_heartbeat(at, heartbeat("steady"))
             if not 0.3 < at < 1.2:
-                watch.heard(at, heartbeat("late"))
+                watch.record_heartbeat(at, heartbeat("late"))
         self.assertThat(sorted(watch.gateways(2.8)), Equals(["late"]))
         self.assertThat(sorted(watch.gateways(5.0)), Equals([]))
 
-    def test_silent_and_leaving_go(self):
+    def test_silent_and_draining_go(self):
         watch = Discovery(0.0, {}, 40.0)
-        watch.heard(0.0, heartbeat("a"))
-        watch.heard(1.0, heartbeat("b"))
-        watch.heard(1.0, heartbeat("c", leaving=True))
-        self.assertThat(sorted(watch.gateways(SILENT + 0.1)), Equals(["b"]))
+        watch.record_heartbeat(0.0, heartbeat("a"))
+        watch.record_heartbeat(1.0, heartbeat("b"))
+        watch.record_heartbeat(1.0, heartbeat("c", draining=True))
+        self.assertThat(sorted(watch.gateways(HEARTBEAT_TIMEOUT + 0.1)), Equals(["b"]))
 
     def test_list_is_used_whole_and_a_spell_told_again_is_no_change(self):
         watch = Discovery(0.0, {}, 40.0)
         row = {"id": "w1", "svc": "s", "addr": "x:1", "zone": "z", "capacity": 3, "phase": "ready", "coldLeftS": 2.0}
-        self.assertFalse(watch.list_page(0.0, [row], "next"))
-        self.assertThat(watch.listed, Equals(None))
-        self.assertTrue(watch.list_page(0.0, [{**row, "id": "w2", "coldLeftS": None, "phase": "draining"}], None))
-        first = watch.listed
+        self.assertFalse(watch.add_list_page(0.0, [row], "next"))
+        self.assertThat(watch.workers, Equals(None))
+        self.assertTrue(watch.add_list_page(0.0, [{**row, "id": "w2", "coldLeftS": None, "phase": "draining"}], None))
+        first = watch.workers
         self.assertTrue(first["w2"].draining)
-        watch.list_page(0.5, [{**row, "coldLeftS": 1.4}], None)
-        self.assertThat(watch.listed["w1"], Equals(first["w1"]))
-        watch.list_page(5.0, [{**row, "coldLeftS": 3.0}], None)
-        self.assertNotEqual(watch.listed["w1"], first["w1"])
+        watch.add_list_page(0.5, [{**row, "coldLeftS": 1.4}], None)
+        self.assertThat(watch.workers["w1"], Equals(first["w1"]))
+        watch.add_list_page(5.0, [{**row, "coldLeftS": 3.0}], None)
+        self.assertNotEqual(watch.workers["w1"], first["w1"])
--- a/tests/cluster/test_store.py
+++ b/tests/cluster/test_store.py
@@ -9,11 +9,12 @@
 from testtools.matchers import Equals, GreaterThan
 
 from fernyard.cluster.common.errors import StoreError
-from fernyard.cluster.control_plane import events
-from fernyard.cluster.control_plane.bodies import UNUSED
-from fernyard.cluster.control_plane.messages import Accept, Accepted, Decision, MessageReceived
+from fernyard.cluster.control_plane import commands, events
+from fernyard.cluster.control_plane.bodies import UNUSED_RETENTION
+from fernyard.cluster.control_plane.messages import Accept, Accepted, Decision
 from fernyard.cluster.control_plane.recovery import recover
-from fernyard.cluster.control_plane.replica import Replica, ReplicaSettings
+from fernyard.cluster.control_plane.replica import Replica
+from fernyard.cluster.control_plane.replica_context import ReplicaSettings
 from fernyard.cluster.control_plane.state import NO_CONFIGURATION, ConfigurationId, ProposalNumber, founding_state
 from fernyard.cluster.control_plane.store import Files, Store
 
@@ -231,8 +232,8 @@
             self.assertThat(recovered.vote.member, Equals(FOUNDED.voters[0]), (legacy, cut))
         if state is not None and state.configuration != NO_CONFIGURATION:
             self.assertIn(state.configuration, recovered.bodies, (legacy, cut))
-        for ballot in answered:
-            self.assertTrue(recovered.vote.accepted >= ballot, (legacy, cut))
+        for proposal_number in answered:
+            self.assertTrue(recovered.vote.accepted >= proposal_number, (legacy, cut))
         return files.calls == cut
 
     def run_replica(self, store, answered, bootstrap):
@@ -241,22 +242,22 @@
         replica = Replica(0.0, SETTINGS, 1, recovered.vote, recovered.bodies)
         self.carry_out(store, replica, 0.0, replica.step(0.0, events.Tick()), answered)
         for version in (2, 3, 4):
-            now, body = version * UNUSED * 2, b"v%d" % version
+            now, body = version * UNUSED_RETENTION * 2, b"v%d" % version
             id = ConfigurationId.of(version, body)
             state = msgspec.structs.replace(FOUNDED, configuration=id, revision=version)
             for event in (
-                MessageReceived(IPS[1], Accept(ProposalNumber(version, 7), state)),
+                events.MessageReceived(IPS[1], Accept(ProposalNumber(version, 7), state)),
                 events.BodyReceived(id, body),
-                MessageReceived(IPS[1], Decision(ProposalNumber(version, 7), state)),
+                events.MessageReceived(IPS[1], Decision(ProposalNumber(version, 7), state)),
             ):
                 self.carry_out(store, replica, now, replica.step(now, event), answered)
 
     def carry_out(self, store, replica, now, orders, answered):
         for order in orders:
-            if type(order) is events.StoreArea:
+            if type(order) is commands.StoreArea:
                 store.save(order.area, order.content)
                 self.carry_out(store, replica, now, replica.step(now, events.AreaStored(order.area, True)), answered)
-            elif type(order) is events.EraseArea:
+            elif type(order) is commands.EraseArea:
                 store.erase(order.area)
-            elif type(order) is events.SendMessage and type(order.message) is Accepted:
-                answered.append(order.message.ballot)
+            elif type(order) is commands.SendMessage and type(order.message) is Accepted:
+                answered.append(order.message.proposal_number)
