--- a/fernyard/cluster/__main__.py
+++ b/fernyard/cluster/__main__.py
@@ -87,10 +87,10 @@
 
         defopt.run([data_plane, control_plane, check, status, slopes], argv=sys.argv[1:])
     except ClusterError as why:
-        log.warning("Cannot go on.", **why.fields())
+        log.warning("The program cannot start or go on.", **why.fields())
         sys.exit(2)
     except OSError as why:
-        log.warning("Cannot go on.", code="X001", why=str(why))
+        log.warning("The program cannot start or go on.", code="X001", why=str(why))
         sys.exit(2)
 
 
--- a/fernyard/cluster/common/transport.py
+++ b/fernyard/cluster/common/transport.py
@@ -47,7 +47,7 @@
         try:
             self.on_message(message, address)
         except Exception:
-            log.exception("A message broke its handler.", kind=type(message).__name__)
+            log.exception("The handler of a message failed.", kind=type(message).__name__)
 
     def send(self, message: messages.Message, address: Address) -> None:
         """Sends a message; it may be lost."""
@@ -74,7 +74,7 @@
         except (ConnectionError, asyncio.CancelledError):
             raise
         except Exception:
-            log.exception("A call broke its handler.", path=request.path)
+            log.exception("The handler of a call failed.", path=request.path)
             status, body, headers = 500, b"", None
         return Response(status=status, body=body, headers=headers)
 
--- a/fernyard/cluster/control_plane/api.py
+++ b/fernyard/cluster/control_plane/api.py
@@ -53,14 +53,14 @@
         try:
             id, _configuration = configuration.read(body)
         except ConfigurationError as error:
-            log.info("A configuration is refused.", **error.fields())
+            log.info("A configuration was rejected.", **error.fields())
             return 400, encode_json(error.fields()), JSON
         reply = await self.process.call(lambda ticket: ConfigurationSubmitted(ticket, id, body))
         if reply.status == 409:
             conflict = ConfigurationConflictError(
                 "another configuration is held under that number", str(reply.conflicting)
             )
-            log.warning("A configuration is refused.", sent=str(id), **conflict.fields())
+            log.warning("A configuration was rejected.", sent=str(id), **conflict.fields())
             return 409, encode_json(conflict.fields()), JSON
         return reply.status, b"", None
 
@@ -97,7 +97,7 @@
         addresses = process.discovery.resolve(now, zone, region, gateways)
         if addresses is None:
             return 503, b"", None
-        ttl = process.discovery.ttl(now, process.replica.voters_heard_at())
+        ttl = process.discovery.ttl(now, process.replica.voters_last_seen())
         return 200, encode_json({"addrs": addresses, "ttlS": ttl}), JSON
 
     # Other processes of the system -----------------------------------------------------------------------------------
--- a/fernyard/cluster/control_plane/command_executor.py
+++ b/fernyard/cluster/control_plane/command_executor.py
@@ -85,7 +85,7 @@
         try:
             await self._loop.run_in_executor(self._disk, self.store.save, area, content)
         except StoreError as error:
-            log.warning("The disk did not keep a state.", area=area, **error.fields())
+            log.warning("The disk did not store an area.", area=area, **error.fields())
             return False
         return True
 
--- a/fernyard/cluster/control_plane/discovery.py
+++ b/fernyard/cluster/control_plane/discovery.py
@@ -17,7 +17,7 @@
 MAX_ADDRESSES, MIN_ADDRESSES = 64, 2  # in an answer to a client
 TTL, LONG_TTL = 1.0, 4.0  # that an answer to a client holds: usually, and while a control plane is silent
 PEER_TIMEOUT = HEARTBEAT_TIMEOUT + 0.2  # without a heartbeat of a control plane, until answers to clients hold longer
-UNHEARD_GRACE = 2.0  # after a start, in which only gateways heard from are named, where there is any
+UNKNOWN_GRACE = 2.0  # after a start, in which only gateways heard from are named, where there is any
 REGISTRY_SAVE_INTERVAL = 1.0
 
 
@@ -129,8 +129,8 @@
             near += rendezvous.top(zone, far, MIN_ADDRESSES)
         return sorted(near)[:MAX_ADDRESSES] or None
 
-    def ttl(self, now: float, peers_heard_at: Collection[float]) -> float:
-        """Seconds that an answer to a client holds. `peers_heard_at`: when each other control plane was last in touch.
+    def ttl(self, now: float, peers_last_seen: Collection[float]) -> float:
+        """Seconds that an answer to a client holds. `peers_last_seen`: when each other control plane was last in touch.
 
         A control plane without power costs each client that asks it a second, so clients are to ask less often while there
         is one: once the gateways that may have been lost with it are off the answers.
@@ -139,11 +139,11 @@
         doubtful = any(
             now - gateway.received_at >= HEARTBEAT_TIMEOUT and not gateway.is_silent(now) for gateway in tracked
         )
-        peer_silent = any(now - at >= PEER_TIMEOUT for at in peers_heard_at)
+        peer_silent = any(now - at >= PEER_TIMEOUT for at in peers_last_seen)
         return LONG_TTL if peer_silent and not doubtful else TTL
 
     def _is_gone(self, now: float, node: str) -> bool:
         tracked = self.tracked.get(node)
         if tracked is None:
-            return now - self.began_at < UNHEARD_GRACE
+            return now - self.began_at < UNKNOWN_GRACE
         return tracked.heartbeat.draining or tracked.is_silent(now)
--- a/fernyard/cluster/control_plane/endpoint_poller.py
+++ b/fernyard/cluster/control_plane/endpoint_poller.py
@@ -74,7 +74,7 @@
             except CALL_ERRORS:
                 return self.discovery.list_failed(self._loop.time(), False)
             except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as error:
-                log.warning("The list of workers cannot be read.", why=repr(error))
+                log.warning("The endpoint list cannot be read.", why=repr(error))
                 return self.discovery.list_failed(self._loop.time(), False)
 
     async def _read_page(self, cursor: str | None) -> tuple[int, Any]:
--- a/fernyard/cluster/control_plane/lease_keeper.py
+++ b/fernyard/cluster/control_plane/lease_manager.py
@@ -11,7 +11,7 @@
 from .state import Member
 
 
-class LeaseKeeper:
+class LeaseManager:
     """The lease as seen from one process. The caller reports each change to the replica."""
 
     def __init__(
--- a/fernyard/cluster/control_plane/operator_calls.py
+++ b/fernyard/cluster/control_plane/operator_calls.py
@@ -43,7 +43,7 @@
 
     since: float
     change: SetConfiguration | SetEvacuation | None = None
-    asked_at: float = 0.0
+    requested_at: float = 0.0
     proposed: bool = False
 
 
@@ -131,7 +131,7 @@
     def on_forwarded(self, ip: str, message: ForwardedChange) -> None:
         """Another replica forwards a change to us, as the lease holder."""
         context = self.context
-        if self.peers.was_sent_within(
+        if self.peers.sent_within(
             context.now, FORWARDED_WITHIN, message.acknowledged_incarnation, message.acknowledged
         ):
             self._propose(ForwardedKey(ip, message.incarnation, message.key), message.change)
--- a/fernyard/cluster/control_plane/peer_table.py
+++ b/fernyard/cluster/control_plane/peer_table.py
@@ -15,7 +15,7 @@
 FRESH = 1.0  # within which a heartbeat shows that a replica is there
 KNOWN = 3.0  # for which a replica is named to others after its last heartbeat
 FORGOTTEN = 30.0
-SENT_TIMES_KEPT = 5.0
+SENT_TIMES_RETENTION = 5.0
 LEASE_HOLDER_TIMEOUT = 0.7  # since the heartbeat of the lease holder
 
 
@@ -51,13 +51,15 @@
         """The sequence number of heartbeats sent now."""
         self.sequence += 1
         self._sent_at[self.sequence] = now
-        for sequence in [sequence for sequence, at in self._sent_at.items() if now - at > SENT_TIMES_KEPT]:
+        for sequence in [sequence for sequence, at in self._sent_at.items() if now - at > SENT_TIMES_RETENTION]:
             del self._sent_at[sequence]
         return self.sequence
 
-    def was_sent_within(self, now: float, seconds: float, incarnation: int, sequence: int) -> bool:
+    def sent_within(self, now: float, seconds: float, incarnation: int, sequence: int) -> bool:
         """Was that heartbeat of ours sent so few seconds ago? A message that acknowledges it can't be older."""
-        return incarnation == self.incarnation and now - self._sent_at.get(sequence, now - SENT_TIMES_KEPT) <= seconds
+        return (
+            incarnation == self.incarnation and now - self._sent_at.get(sequence, now - SENT_TIMES_RETENTION) <= seconds
+        )
 
     def record_heartbeat(self, now: float, heartbeat: ReplicaHeartbeat) -> bool:
         """False for one that was overtaken on its way by a later one of the same incarnation: sequences and accepted
--- a/fernyard/cluster/control_plane/process.py
+++ b/fernyard/cluster/control_plane/process.py
@@ -31,7 +31,7 @@
 from .endpoint_poller import EndpointPoller
 from .events import CallExpired, Event, LeaseChanged, MessageReceived, ShutdownRequested, Tick
 from .gateway_plan import GatewayPlan
-from .lease_keeper import LeaseKeeper
+from .lease_manager import LeaseManager
 from .messages import ReplicaHeartbeat, decode, encode
 from .peer_client import PeerClient
 from .recovery import recover
@@ -65,7 +65,7 @@
         self.client = PeerClient(settings.ports[0])
         self.datagrams = Datagrams(self._on_message, decode)
         self.executor = CommandExecutor(self.store, self.client, self.send, self.handle_event, self._publish)
-        self.lease = LeaseKeeper(now, self.replica, is_first_start, self.send)
+        self.lease = LeaseManager(now, self.replica, is_first_start, self.send)
         self.poller = EndpointPoller(
             settings.cloud, self.client, self.discovery, self.registry, self.term, self._notify_gateways
         )
@@ -92,7 +92,7 @@
         )
         recovered = recover(areas, replica_settings, is_first_start, _random_id())
         if recovered.unreadable:
-            log.warning("Configurations do not fit their digests and are passed over.", areas=recovered.unreadable)
+            log.warning("Configurations do not match their digests and were skipped.", areas=recovered.unreadable)
         return Replica(self.now(), replica_settings, _random_id(), recovered.vote, recovered.bodies)
 
     def _load_registry(self, content: bytes | None) -> None:
@@ -136,16 +136,16 @@
         self.handle_event(ShutdownRequested())
         while self.now() < deadline and not self.replica.may_stop():
             await asyncio.sleep(HEARTBEAT_INTERVAL)
-        log.info("Control plane leaves.", votes=self.replica.is_voter)
+        log.info("Control plane is shutting down.", votes=self.replica.is_voter)
 
     def _reload(self) -> None:
         """SIGHUP: reads the settings again; a bad file changes nothing."""
         try:
             settings = read_settings()
         except ClusterError as error:
-            return log.warning("Settings are refused, the old ones stay.", **error.fields())
+            return log.warning("The settings were rejected, the previous ones stay in force.", **error.fields())
         self.replica.add_seeds([ip for ip, _ in settings.seeds])
-        log.info("Settings are read anew.")
+        log.info("The settings were reloaded.")
 
     # Events ----------------------------------------------------------------------------------------------------------
 
@@ -190,7 +190,7 @@
                 self.datagrams.send(self.lease.on_request(self.now(), message), address)
             case LeaseReply():
                 if self.lease.on_reply(self.now(), message):
-                    log.info("The lease is held here.", epoch=self.lease.candidate.epoch)
+                    log.info("This process holds the lease.", epoch=self.lease.candidate.epoch)
                     self._report_lease(True)
             case _:
                 self.handle_event(MessageReceived(address[0], message))
@@ -202,7 +202,7 @@
             try:
                 self._on_heartbeat_interval()
             except Exception:
-                log.exception("A heartbeat broke.")
+                log.exception("A heartbeat failed.")
             await asyncio.sleep(HEARTBEAT_INTERVAL)
 
     def _on_heartbeat_interval(self) -> None:
--- a/fernyard/cluster/control_plane/replica.py
+++ b/fernyard/cluster/control_plane/replica.py
@@ -191,7 +191,7 @@
         """Does no other replica hold the lease, as far as known? Votes taken from its holder would only be split."""
         return self.calls.lease_holder() is None
 
-    def voters_heard_at(self) -> list[float]:
+    def voters_last_seen(self) -> list[float]:
         """When the last heartbeat of each other voter came, of those that ever sent one."""
         if self.state is None:
             return []
@@ -432,8 +432,8 @@
         """A read is answered once a majority confirmed, after the read came, that nothing newer is decided."""
         at, now = self.confirmed_at, self.context.now
         if at is None or at < call.since:
-            if now - call.asked_at >= READ_RETRY:
-                call.asked_at = now
+            if now - call.requested_at >= READ_RETRY:
+                call.requested_at = now
                 self._send_heartbeats(urgent=True)
             return
         if self.learner.is_published():  # else its configuration is on the way
--- a/fernyard/cluster/control_plane/store.py
+++ b/fernyard/cluster/control_plane/store.py
@@ -95,9 +95,9 @@
             if sha256(content).digest() == digest:
                 return content
         except Exception as error:  # whatever a torn file makes of the library's reading
-            log.warning("A file is torn and passed over.", file=base, why=type(error).__name__)
+            log.warning("A file is torn and was skipped.", file=base, why=type(error).__name__)
             return None
-        log.warning("A file does not fit its digest and is passed over.", file=base)
+        log.warning("A file does not match its digest and was skipped.", file=base)
         return None
 
     def save(self, area: str, content: bytes) -> None:
--- a/fernyard/cluster/data_plane/process.py
+++ b/fernyard/cluster/data_plane/process.py
@@ -122,7 +122,7 @@
         until = self.now() + self.set.bound("graceS", 5.0) - LAST
         self.leaving = self.listener.stopping = True
         self.send_heartbeat()
-        log.info("Data plane leaves.")
+        log.info("Data plane is shutting down.")
         await asyncio.sleep(min(STAY, max(0.0, until - self.now() - 1.0)))
         await self.listener.close(until)
         beats.cancel()
@@ -137,9 +137,9 @@
         try:
             settings = read_settings()
         except ClusterError as why:
-            return log.warning("Settings are refused, the old ones stay.", **why.fields())
+            return log.warning("The settings were rejected, the previous ones stay in force.", **why.fields())
         self.replicas += [ip for ip, _ in settings.seeds if ip not in self.replicas]
-        log.info("Settings are read anew.")
+        log.info("The settings were reloaded.")
 
     # The router ------------------------------------------------------------------------------------------------------
 
--- a/tests/cluster/control_planes.py
+++ b/tests/cluster/control_planes.py
@@ -10,7 +10,7 @@
 from fernyard.cluster.common.messages import LeaseReply, LeaseRequest, Message
 from fernyard.cluster.control_plane import commands, events
 from fernyard.cluster.control_plane.learner import SERVED_WITHIN
-from fernyard.cluster.control_plane.lease_keeper import LeaseKeeper
+from fernyard.cluster.control_plane.lease_manager import LeaseManager
 from fernyard.cluster.control_plane.messages import StoredBody, decode, encode
 from fernyard.cluster.control_plane.operator_calls import CALL_TIMEOUT, FORWARDED_WITHIN
 from fernyard.cluster.control_plane.proposer import ROUND_TIMEOUT
@@ -52,7 +52,7 @@
     ip: str
     areas: dict = attrs.Factory(dict)
     replica: Replica | None = None
-    lease: LeaseKeeper | None = None
+    lease: LeaseManager | None = None
     incarnation: int = 0
     frozen: list | None = None
     disk: str = "well"
@@ -96,7 +96,7 @@
         disk = self.random.getrandbits(48)
         recovered = recover(dict(machine.areas), settings, bootstrap and not machine.areas, disk)
         machine.replica = self.kind(self.now, settings, machine.incarnation, recovered.vote, recovered.bodies)
-        machine.lease = LeaseKeeper(self.now, machine.replica, bootstrap, partial(self.send_from, machine))
+        machine.lease = LeaseManager(self.now, machine.replica, bootstrap, partial(self.send_from, machine))
         # Processes beat out of step.
         self.at(self.now + TICK * self.random.random(), self.tick, machine, machine.incarnation)
 
