--- a/fernyard/cluster/__main__.py
+++ b/fernyard/cluster/__main__.py
@@ -2,28 +2,32 @@
 
 import asyncio
 import sys
+from typing import TYPE_CHECKING, Protocol
 
 from .common.errors import ClusterError
 from .common.logs import ComponentLogger, set_up
 
+if TYPE_CHECKING:
+    from .common.settings import Settings
+
 log = ComponentLogger("start")
 
 
-def data_plane():
+def data_plane() -> None:
     """Run the data plane that FERNYARD_BOOT describes, until SIGTERM."""
     from .data_plane.process import DataPlane
 
     _run(DataPlane)
 
 
-def control_plane():
+def control_plane() -> None:
     """Run the control plane that FERNYARD_BOOT describes, until SIGTERM."""
     from .control_plane.process import ControlPlane
 
     _run(ControlPlane)
 
 
-def check(file: str, *, config: str = ""):
+def check(file: str, *, config: str = "") -> None:
     """Read a settings file, and a configuration if one is named; say what they are for or what is wrong.
 
     :param file: a settings file as FERNYARD_BOOT names it
@@ -40,14 +44,14 @@
         from .control_plane import configuration
 
         with open(config, "rb") as opened:
-            id, told = configuration.read(opened.read())
+            id, parsed = configuration.read(opened.read())
         print(
-            f"{config}: version {id.version:08x}, {len(told.svcs)} services, "
-            f"{sum(len(vhost.paths) for vhost in told.vhosts)} routes, {len(told.accounts or [])} tenants"
+            f"{config}: version {id.version:08x}, {len(parsed.svcs)} services, "
+            f"{sum(len(vhost.paths) for vhost in parsed.vhosts)} routes, {len(parsed.accounts or [])} tenants"
         )
 
 
-def status(address: str):
+def status(address: str) -> None:
     """Ask a control plane what it holds, since when, and whom it hears.
 
     :param address: ip:port of its `control`
@@ -58,39 +62,47 @@
         print(answer.read().decode())
 
 
-def slopes():
+def slopes() -> None:
     """Measure what one more route, tenant, worker or gateway costs each part (docs/CAPACITY.md)."""
     from .slopes import main as measure
 
-    measure()
+    measure()  # type: ignore[no-untyped-call]
+
+
+class Program(Protocol):
+    """One of the two programs, made from its settings within a running loop."""
+
+    def __init__(self, settings: "Settings") -> None: ...
+
+    async def run(self) -> None: ...
 
 
-def _run(program):
+def _run(program: type[Program]) -> None:
     from .common.settings import read
 
-    set_up()  # again: a program may have brought in fernyard.log, which sets logs up for libraries
+    set_up()  # again: a program may have imported fernyard.log, which sets logs up for libraries
     settings = read()
 
-    async def run():
+    async def run() -> None:
         await program(settings).run()
 
     asyncio.run(run())
 
 
-def main():
+def main() -> None:
     set_up()
     try:
         if sys.argv[1:] in (["data-plane"], ["control-plane"]):
             # The daemons alone do without the command line's library: a tenth of a second earlier back in service.
-            return {"data-plane": data_plane, "control-plane": control_plane}[sys.argv[1]]()
+            return data_plane() if sys.argv[1] == "data-plane" else control_plane()
         import defopt
 
         defopt.run([data_plane, control_plane, check, status, slopes], argv=sys.argv[1:])
-    except ClusterError as why:
-        log.warning("The program cannot start or go on.", **why.fields())
+    except ClusterError as error:
+        log.warning("The program cannot start or go on.", **error.fields())
         sys.exit(2)
-    except OSError as why:
-        log.warning("The program cannot start or go on.", code="X001", why=str(why))
+    except OSError as error:
+        log.warning("The program cannot start or go on.", code="X001", why=str(error))
         sys.exit(2)
 
 
--- a/fernyard/cluster/common/messages.py
+++ b/fernyard/cluster/common/messages.py
@@ -79,7 +79,7 @@
     (`quota.counter_mark`).
     """
 
-    ask: int
+    request_id: int
     node: str
     incarnation: int
     counter: int
@@ -98,7 +98,7 @@
     `incarnation`: of the gateway that asked; `counter` and `counter_incarnation`: of the one that answers.
     """
 
-    ask: int
+    request_id: int
     incarnation: int
     counter: int
     counter_incarnation: int
--- a/fernyard/cluster/data_plane/__init__.py
+++ b/fernyard/cluster/data_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: carries the traffic, counts tenants' units for all, relays news in its zone."""
+"""The data plane: a gateway that admits clients' requests and forwards them to workers."""
--- /dev/null
+++ b/fernyard/cluster/data_plane/commands.py
@@ -0,0 +1,44 @@
+"""Commands: what `RequestRouter.step` returns for the process to execute, in order. Times are seconds."""
+
+import msgspec
+
+from ...workers import Outcome
+from ..common.messages import Count
+
+
+class Command(msgspec.Struct, frozen=True):
+    """Base of all commands."""
+
+
+class ForwardRequest(Command, frozen=True):
+    """Forward a request to a worker. `attempt` numbers its attempts; `tenant`: a name for the worker, or None; `timeout`:
+    until the attempt is given up."""
+
+    number: int
+    attempt: int
+    worker: str
+    address: str
+    tenant: str | None
+    timeout: float
+
+
+class AnswerRequest(Command, frozen=True):
+    """Answer a request ourselves. `retry_after`: 0 for none."""
+
+    number: int
+    status: int
+    retry_after: float = 0.0
+
+
+class RelayAnswer(Command, frozen=True):
+    """Answer a request with what its worker answered."""
+
+    number: int
+    outcome: Outcome
+
+
+class SendCount(Command, frozen=True):
+    """Send an add to the counter gateway at `ip`; None is this process."""
+
+    ip: str | None
+    count: Count
--- a/fernyard/cluster/data_plane/events.py
+++ b/fernyard/cluster/data_plane/events.py
@@ -1,85 +1,55 @@
-"""What the router is told and what it orders. Times are seconds of the machine's steady clock."""
+"""Events: what a `RequestRouter` is told, beside `workers.Outcome`. Times are seconds of the machine's steady clock.
 
-import attrs
+A `number` names one request of a client within this process.
+"""
 
+import msgspec
 
-@attrs.define
-class Asked:
-    """A client's request came in whole. `left`: seconds that the client will wait."""
+from ...workers import Outcome
+from ..common.messages import ConfigurationUpdate, RegistryUpdate, Total
+
+
+class Event(msgspec.Struct, frozen=True):
+    """Base of all events."""
+
+
+class RequestArrived(Event, frozen=True):
+    """A client's request was read completely. `patience`: seconds that the client will wait; `key`: its API key."""
 
     number: int
     method: str
     host: str
     path: str
     key: str | None
-    left: float
+    patience: float
 
 
-@attrs.define
-class Gone:
-    """The client of a request went away."""
+class ClientGone(Event, frozen=True):
+    """The client of a request closed its connection."""
 
     number: int
 
 
-@attrs.define
-class Tick:
+class Tick(Event, frozen=True):
     """A timer may be due."""
 
 
-@attrs.define
-class Counted:
-    """The answer of a counter gatekeeper (`messages.Total`)."""
-
-    total: object
+class CountAnswered(Event, frozen=True):
+    """A counter gateway answered an add."""
 
+    total: Total
 
-@attrs.define
-class ConfigurationChanged:
-    """What is in force changed (`messages.ConfigurationUpdate`)."""
 
-    update: object
+class ConfigurationChanged(Event, frozen=True):
+    """What is in force changed."""
 
+    update: ConfigurationUpdate
 
-@attrs.define
-class RegistryChanged:
-    """Workers or gateways changed (`messages.RegistryUpdate`)."""
 
-    update: object
-
-
-@attrs.define
-class Send:
-    """To a worker; `limit`: seconds until it is given up; `tenant`: name for the worker or None."""
-
-    number: int
-    dispatch: int
-    worker: str
-    address: str
-    tenant: str | None
-    limit: float
-
-
-@attrs.define
-class Answer:
-    """An answer of our own. `retry`: seconds for Retry-After, 0 for none."""
-
-    number: int
-    status: int
-    retry: float = 0.0
-
-
-@attrs.define
-class Relay:
-    """The worker's answer as it came (`workers.Outcome`)."""
-
-    number: int
-    outcome: object
+class RegistryChanged(Event, frozen=True):
+    """Workers or gateways changed."""
 
+    update: RegistryUpdate
 
-@attrs.define
-class Add:
-    """A `messages.Count` to the counter gatekeeper at that ip; None is this process."""
 
-    ip: str | None
-    count: object
+RouterEvent = Event | Outcome
--- /dev/null
+++ b/fernyard/cluster/data_plane/limits.py
@@ -0,0 +1,55 @@
+"""The limits of the gatekeeper's connections, from what this machine may use."""
+
+from ...settings.limits import Limits
+from ..common.settings import Settings
+
+BYTES_PER_MBIT = 125_000
+RESERVED_DESCRIPTORS, MIN_SOCKETS = 300, 64
+BUFFERED_LINK_TIME = 0.06  # seconds of the link that one connection may fill
+WIDE_BUFFER = 1 << 18  # bytes from which on a connection's buffer is not bounded
+ACCEPT_AFTER_STOP = 2.2  # seconds after SIGTERM in which new connections are taken
+
+
+def limits(settings: Settings) -> Limits:
+    """Descriptors are divided among clients and workers; buffers follow the link. What the system does not use is 0."""
+    sockets = max(MIN_SOCKETS, settings.descriptors - RESERVED_DESCRIPTORS)
+    buffer = int(settings.link_mbps * BYTES_PER_MBIT * BUFFERED_LINK_TIME)
+    return Limits(
+        body=1 << 26,
+        answer_body=1 << 24,
+        clients=sockets // 2,
+        clients_unused=sockets // 4,
+        workers=sockets // 3,
+        workers_known=4096,
+        answer=0.5 if buffer >= WIDE_BUFFER else 3.0,
+        answer_head=16 * 1024,
+        counters=0,
+        backlog=512,
+        line=16 * 1024,
+        lines=128,
+        ids=0,
+        units=0.0,
+        client_idle=15.0,
+        whole_req=3.0,
+        first_room=0.1,
+        sweep=0.25,
+        worker_rest=0.01,
+        worker_idle=4.5,
+        connect=0.4,
+        count=0.0,
+        counter_silence=0.0,
+        counter_pause=0.0,
+        counter_owed=0,
+        watch=0.0,
+        watch_grace=0.0,
+        watch_crowd=0.0,
+        watch_longest_pause=0.0,
+        watch_spread=0.0,
+        watch_pause=0.0,
+        accept_after_stop=ACCEPT_AFTER_STOP,
+        killed=settings.bound("graceS", 5.0),
+        longest_wait=60.0,
+        grain=0.002,
+        flush=0.5,
+        buffer=buffer if buffer < WIDE_BUFFER else 0,
+    )
--- a/fernyard/cluster/data_plane/listener.py
+++ b/fernyard/cluster/data_plane/listener.py
@@ -1,105 +1,143 @@
 """The clients' side, on the gatekeeper's own connections (`fernyard.clients`). Decides nothing."""
 
 import asyncio
+from collections.abc import Callable, Mapping
 from dataclasses import replace
+from typing import Any
 
 import attrs
+from aiohttp.web_request import BaseRequest
 from aiohttp.web_response import StreamResponse
 from multidict import CIMultiDict
 
 from ...clients.read import Malformed, check_framing, passed_on
 from ...clients.serving import NO_REQUEST, RequestServer
+from ...log import Counts
+from ...settings.limits import Limits
+from ...workers import Outcome
 from ..common.logs import ComponentLogger
-from .events import Asked, Gone
-from .pacing import PIECE, SMALL
+from ..common.messages import Plan
+from ..common.transport import Address
+from .events import ClientGone, Event, RequestArrived
+from .pacing import CHUNK, SMALL_ANSWER, Pacer
 
 log = ComponentLogger("front")
-ID, LEFT = "Attempt-Id", "Deadline-Ms"
-ONCE = (ID, LEFT, "Key", "Host", "Content-Length", "Transfer-Encoding")  # headers that stand there once at most
+ATTEMPT_ID, DEADLINE_MS = "Attempt-Id", "Deadline-Ms"
+DEFAULT_DEADLINE_MS = "30000"
+SINGLE_HEADERS = (ATTEMPT_ID, DEADLINE_MS, "Key", "Host", "Content-Length", "Transfer-Encoding")  # once at most
+CLOSE_POLL = 0.02  # seconds between looks at the connections that are still open
 
 
 @attrs.define
-class Taken:
-    """A request as it came; `tenant` is set when it goes to a worker."""
+class ClientRequest:
+    """A request as it was read; `tenant` is set when it is forwarded."""
 
     id: str
     method: str
     host: str
     path: str
-    headers: list
+    headers: list[tuple[str, str]]
     body: bytes
     tenant: str | None = None
 
 
+@attrs.frozen
+class ClientAnswer:
+    """What a client is answered."""
+
+    status: int
+    body: bytes = b""
+    headers: Mapping[str, str] | None = None
+
+
 class ClientListener(RequestServer):
-    """Reads requests and writes answers; `report` hears `Asked` and `Gone`."""
+    """Reads requests and writes answers."""
 
-    def __init__(self, limits, report, counts, pace):
-        """`pace`: of large answers on their way out."""
+    connections: Any  # `fernyard.clients.connections.Connections`, which is not annotated yet
+
+    def __init__(self, limits: Limits, report: Callable[[Event], None], counts: Counts, pacer: Pacer) -> None:
+        """`report` takes `RequestArrived` and `ClientGone`; `pacer`: of large answers on their way out."""
         super().__init__(limits, report, counts)
-        self.pacer, self.taken = pace, {}
+        self.pacer = pacer
+        self.requests: dict[int, ClientRequest] = {}
 
-    def listen(self, address):
+    def listen(self, address: Address) -> None:
+        """Takes connections at `address`; raises OSError."""
         self._open(*address)
 
-    def _fault(self):
-        log.exception("A request broke its handler.")
+    def _fault(self) -> None:
+        log.exception("The handler of a request failed.")
 
-    async def _serve(self, request):
-        headers, connection = request.headers, request.protocol
-        id, told = headers.get(ID), headers.get(LEFT, "30000")
-        host, path = headers.get("Host", ""), request.raw_path
-        try:
-            self._check(id, told, path)
-            check_framing(headers, ONCE)
-            body = await self._body(request)
-        except NO_REQUEST as why:
-            return self._refused(why)
-        self.number = number = self.number + 1
-        waiting = self.waiting[number] = asyncio.get_running_loop().create_future()
-        self.taken[number] = Taken(id, request.method, host, path, passed_on(request.raw_headers), body)
-        self.connections.begun(connection)
+    async def _serve(self, request: BaseRequest) -> StreamResponse:
         try:
-            self.report(Asked(number, request.method, host, path, headers.get("Key"), int(told) / 1000))
-            status, body, told = await waiting
-        except asyncio.CancelledError:
-            self.report(Gone(number))
-            raise
-        finally:
-            self.waiting.pop(number, None)
-            self.taken.pop(number, None)
-        if self.pacer.rate and len(body) > SMALL:
-            return await self._in_pieces(request, status, body, told)
-        response = self._response(status, body, told, lambda: self.connections.ended(connection))
+            client_request = await self._read(request)
+        except NO_REQUEST as error:
+            refusal: StreamResponse = self._refused(error)
+            return refusal
+        answer = await self._answer_of(request, client_request)
+        connection: Any = request.protocol
+        if self.pacer.rate and len(answer.body) > SMALL_ANSWER:
+            return await self._write_paced(request, answer)
+        response: StreamResponse = self._response(
+            answer.status, answer.body, answer.headers, lambda: self.connections.ended(connection)
+        )
         if connection.behind:
             response.force_close()
         return response
 
-    @staticmethod
-    def _check(id, told, path):
-        if not id or not (told.isascii() and told.isdigit()):
+    async def _read(self, request: BaseRequest) -> ClientRequest:
+        """The complete request; raises one of NO_REQUEST."""
+        headers = request.headers
+        id, deadline, path = headers.get(ATTEMPT_ID), headers.get(DEADLINE_MS, DEFAULT_DEADLINE_MS), request.raw_path
+        if not id or not (deadline.isascii() and deadline.isdigit()):
             raise Malformed(400, "figures")
         if not path.startswith("/") or not path.isascii() or "#" in path:
             raise Malformed(400, "path")  # it would not go on unchanged
+        check_framing(headers, SINGLE_HEADERS)
+        body = await self._body(request)
+        return ClientRequest(id, request.method, headers.get("Host", ""), path, passed_on(request.raw_headers), body)
+
+    async def _answer_of(self, request: BaseRequest, client_request: ClientRequest) -> ClientAnswer:
+        """Reports the request and waits for its answer."""
+        self.number = number = self.number + 1
+        waiting: asyncio.Future[ClientAnswer] = asyncio.get_running_loop().create_future()
+        self.waiting[number] = waiting
+        self.requests[number] = client_request
+        self.connections.begun(request.protocol)
+        try:
+            patience = int(request.headers.get(DEADLINE_MS, DEFAULT_DEADLINE_MS)) / 1000
+            key = request.headers.get("Key")
+            self.report(
+                RequestArrived(number, client_request.method, client_request.host, client_request.path, key, patience)
+            )
+            return await waiting
+        except asyncio.CancelledError:
+            self.report(ClientGone(number))
+            raise
+        finally:
+            self.waiting.pop(number, None)
+            self.requests.pop(number, None)
 
-    async def _in_pieces(self, request, status, body, headers):
-        """A large answer, so that small ones come between its pieces on a narrow link."""
-        loop, response = asyncio.get_running_loop(), StreamResponse(status=status, headers=headers)
-        response.content_length = len(body)
-        if self.stopping or request.protocol.behind:
+    async def _write_paced(self, request: BaseRequest, answer: ClientAnswer) -> StreamResponse:
+        """Writes a large answer so that small ones come between its chunks on a narrow link."""
+        loop = asyncio.get_running_loop()
+        connection: Any = request.protocol
+        response = StreamResponse(status=answer.status, headers=answer.headers)
+        response.content_length = len(answer.body)
+        if self.stopping or connection.behind:
             response.force_close()
         await response.prepare(request)
-        for begin in range(0, len(body), PIECE):
-            if begin:  # and no pause after the last: the client may send its next request at once
-                await asyncio.sleep(self.pacer.take(loop.time(), PIECE))
-            await response.write(body[begin : begin + PIECE])
+        for begin in range(0, len(answer.body), CHUNK):
+            if begin:  # and no delay after the last: the client may send its next request at once
+                await asyncio.sleep(self.pacer.delay_after(loop.time(), CHUNK))
+            await response.write(answer.body[begin : begin + CHUNK])
         await response.write_eof()
-        self.connections.ended(request.protocol)
-        if request.protocol.behind:
-            request.protocol.drop()  # what came before the answer's end was not read
+        self.connections.ended(connection)
+        if connection.behind:
+            connection.drop()  # what came before the answer's end was not read
         return response
 
-    def caps(self, plan):
+    def apply_caps(self, plan: Plan) -> None:
         """What clients may send and how long they may take, as the configuration in force says."""
         limits = replace(
             self.limits, body=plan.body_bytes, whole_req=plan.header_timeout, client_idle=plan.idle_timeout
@@ -107,20 +145,22 @@
         if limits != self.limits:
             self.limits = self.connections.limits = limits
 
-    def answer(self, number, status, body=b"", headers=None):
+    def answer(self, number: int, status: int, body: bytes = b"", headers: Mapping[str, str] | None = None) -> None:
+        """Answers the request of that number, if its client is still there."""
         waiting = self.waiting.get(number)
         if waiting is not None and not waiting.done():
-            waiting.set_result((status, body, headers))
+            waiting.set_result(ClientAnswer(status, body, headers))
 
-    def relay(self, number, outcome):
+    def relay(self, number: int, outcome: Outcome) -> None:
+        """Answers a request with what its worker answered."""
         self.answer(number, outcome.status, outcome.body, CIMultiDict(passed_on(outcome.headers)))
 
-    async def close(self, until):
-        """No more connections; ends when all that was taken is written, or at `until` (the loop's time)."""
+    async def close(self, until: float) -> None:
+        """No more connections; ends when all requests are answered, or at `until` (the loop's time)."""
         loop = asyncio.get_running_loop()
         self.connections.stop_listening()
         self.connections.drop_unused()
         while self.connections.open and loop.time() < until:
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(CLOSE_POLL)
             self.connections.drop_unused()
         await self.connections.shutdown(0)
--- a/fernyard/cluster/data_plane/pacing.py
+++ b/fernyard/cluster/data_plane/pacing.py
@@ -1,20 +1,21 @@
-"""Large answers share a narrow link with small ones: all large ones together get a part of it, so that a small one, a count or
-a beat finds the link nearly free. Free of I/O."""
+"""Large answers share a narrow link with small ones: all large ones together get a fraction of it, so that a small one, a count
+or a heartbeat finds the link nearly free. Free of I/O."""
 
-PART = 0.7  # of the link, for large answers together
-SMALL = 16 * 1024  # bytes up to which an answer is not held up
-PIECE = 4 * 1024  # bytes written at once of a large one
+LINK_FRACTION = 0.7  # for large answers together
+SMALL_ANSWER = 16 * 1024  # bytes up to which an answer is not paced
+CHUNK = 4 * 1024  # bytes written at once of a large answer
 
 
 class Pacer:
-    """One direction of one link; `rate` in bytes a second, 0: not narrow, nothing is held up."""
+    """One direction of one link."""
 
-    def __init__(self, rate):
-        self.rate, self.free_at = PART * rate, 0.0
+    def __init__(self, rate: float) -> None:
+        """`rate`: bytes a second; 0: the link is not narrow, nothing is paced."""
+        self.rate, self._free_at = LINK_FRACTION * rate, 0.0
 
-    def take(self, now, size):
+    def delay_after(self, now: float, size: int) -> float:
         """Seconds to wait after `size` bytes of a large answer."""
         if not self.rate:
             return 0.0
-        self.free_at = max(self.free_at, now) + size / self.rate
-        return self.free_at - now
+        self._free_at = max(self._free_at, now) + size / self.rate
+        return self._free_at - now
--- a/fernyard/cluster/data_plane/router.py
+++ b/fernyard/cluster/data_plane/router.py
@@ -1,282 +1,379 @@
-"""Every decision of the data plane. `RequestRouter(...).step(now, told)` returns the orders to carry out, in order; `next_at` is
-when it wants to be told `Tick`. Free of I/O; the ordinary path of a request stands in `_path`, top to bottom."""
+"""Every decision of the data plane: `RequestRouter.step(now, event)` returns the commands to execute, in order. Free of I/O.
 
-from heapq import heappop, heappush
+The ordinary path of a request is `RequestRouter._path`, top to bottom: route and tenant, admission by the tenant's quota, choice
+of a service, then attempts at its workers with retries and hedged requests. Times are seconds of the machine's steady clock.
+"""
+
+from collections.abc import Generator
 from random import Random
+from typing import Any, NamedTuple
 
 from ...interface import NEVER_RAN, End
 from ...workers import Outcome
 from ..common import rendezvous
+from ..common.messages import ConfigurationUpdate, RegistryUpdate, Tenant, Total
 from ..common.registry import Registry
-from . import events as t
-from .budget import Budget
-from .quota import Quota
-from .routes import Routes, homes, service_of
-from .workers import Workers
-
-COUNT, OUTCOME = "count", "outcome"  # what the path of a request waits for
-MARGIN = 0.03  # seconds before the client's last moment, for the answer's way
-PATIENCE, LEAST_PATIENCE = 3.0, 0.08  # usual times, and seconds, after which a repeatable one goes out again
-COME_BACK, FULL_BACK = 0.15, 0.3  # seconds told to clients that may come again
-CONNECTS = 4  # connections that never came up, for one request
-WAIT_PART = 0.5  # of the target that a request may wait at a worker
+from ..common.settings import Settings
+from .commands import AnswerRequest, Command, ForwardRequest, RelayAnswer, SendCount
+from .endpoints import Endpoint, EndpointSelector
+from .events import (
+    ClientGone,
+    ConfigurationChanged,
+    CountAnswered,
+    RegistryChanged,
+    RequestArrived,
+    RouterEvent,
+    Tick,
+)
+from .quota import QuotaClient
+from .request import Attempt, Path, Request, Wait
+from .retry_budget import RetryBudget
+from .routes import Routes, allowed_regions, choose_service
+from .timers import Timers
+
+ANSWER_MARGIN = 0.03  # before the client's deadline, for the way of the answer
+HEDGE_AFTER, MIN_HEDGE_DELAY = 3.0, 0.08  # usual latencies, and seconds, after which a hedged request goes out
+RETRY_AFTER, RETRY_AFTER_TRIED = 0.15, 0.3  # told to clients that may come again: untried, and tried in vain
+MAX_UNREACHABLE = 4  # workers to which no connection was had, for one request
+MAX_QUEUE_WAIT = 0.5  # of the latency target that a request may wait at a worker
+LATE_COUNT_TIMEOUT = 0.5  # for an answer of a counter that nobody waits for
 REPEATABLE = frozenset(("idempotent", "egress"))  # kinds of routes whose requests may run more than once
 PROMISES = frozenset((408, 421, 429, 503))  # statuses that say: it has not run and never will
 
 
-class Request:
-    """One request, from its arrival to the end of its last dispatch. `ran`: some worker may have run it."""
+class CountResult(NamedTuple):
+    """The answer of a counter, None where none came in time; `was_sent`: it was asked."""
+
+    total: Total | None
+    was_sent: bool
 
 
-def surely_never_ran(outcome):
-    """Neither did the worker of this dispatch run it, nor will it."""
+def surely_never_ran(outcome: Outcome) -> bool:
+    """Neither did the worker of this attempt run it, nor will it."""
     return outcome.end in NEVER_RAN or not outcome.sent
 
 
 class RequestRouter:
-    def __init__(self, now, settings, incarnation):
-        self.set, self.now, self.orders, self.random = settings, now, [], Random(settings.node)
-        self.routes, self.requests, self.timers, self.timer = None, {}, [], 0
-        self.registry, self.revision, self.evacuated = Registry(), 0, []
-        self.quota = Quota(settings.node, incarnation)
-        self.workers = Workers(settings.node, settings.zone, settings.region, settings.zones, self.random)
-        self.budgets, self.counters, self.sent, self.unserved = {}, {}, 0, 0
-
-    def step(self, now, told):
-        self.now, self.orders = now, []
-        HEAR[type(told)](self, told)
-        return self.orders
-
-    def next_at(self):
-        return self.timers[0][0] if self.timers else None
+    """Decides for one gateway."""
+
+    def __init__(self, now: float, settings: Settings, incarnation: int) -> None:
+        """`incarnation`: a number that no other run of any process has."""
+        self.settings, self.now = settings, now
+        self.random = Random(settings.node)
+        self.routes: Routes | None = None  # of the configuration in force
+        self.registry, self.revision = Registry(), 0
+        self.evacuated: list[str] = []
+        self.requests: dict[int, Request] = {}
+        self.quota = QuotaClient(settings.node, incarnation)
+        self.endpoints = EndpointSelector(settings.node, settings.zone, settings.region, settings.zones, self.random)
+        self.forwarded = self.unserved = 0  # attempts, and answers that say so, since the start
+        self._commands: list[Command] = []
+        self._timers = Timers()
+        self._budgets: dict[str, RetryBudget] = {}  # by service
+        self._counters: dict[str, str | None] = {}  # by tenant
+
+    def step(self, now: float, event: RouterEvent) -> list[Command]:
+        """Handles one event; returns the commands to execute, in order."""
+        self.now, self._commands = now, []
+        match event:
+            case Outcome():
+                self._on_outcome(event)
+            case RequestArrived():
+                self._on_arrival(event)
+            case CountAnswered():
+                self._on_count_answered(event.total)
+            case Tick():
+                self._timers.run_due(now)
+            case ClientGone():
+                self._on_client_gone(event)
+            case ConfigurationChanged():
+                self._on_configuration_changed(event.update)
+            case RegistryChanged():
+                self._on_registry_changed(event.update)
+            case _:
+                raise TypeError(f"unknown event {event!r}")
+        return self._commands
+
+    def next_at(self) -> float | None:
+        """When `Tick` is due, or None."""
+        return self._timers.next_at()
 
     @property
-    def serves(self):
+    def serves(self) -> bool:
         """May clients be sent here?"""
-        return self.routes is not None and bool(self.workers.known)
+        return self.routes is not None and bool(self.endpoints.endpoints)
 
     # The path of a request -------------------------------------------------------------------------------------------
 
-    def _path(self, req):
+    def _path(self, request: Request) -> Path:
         """The ordinary path of a request, top to bottom; it yields while it waits."""
-        req.routes = self.routes
-        route = req.route = req.routes.find(req.told.host, req.told.path)
+        if not self._find_route(request):
+            return
+        if not (yield from self._admit(request)):
+            return
+        if self._find_service(request):
+            yield from self._attempts(request)
+
+    def _find_route(self, request: Request) -> bool:
+        """Route and tenant; false where the request is answered."""
+        arrival, routes = request.arrival, request.routes
+        route = request.route = routes.find(arrival.host, arrival.path)
         if route is None:
-            return self._answer(req, 404)
-        req.left_at = min(req.left_at, self.now + route.timeout)
-        tenant = req.tenant = None
-        if self.routes.plan.keyed and not route.public:
-            tenant = req.tenant = self.routes.tenant(req.told.key)
-            if tenant is None:
-                return self._answer(req, 401)
-        if not self.workers.known:
-            return self._answer(req, 503, COME_BACK)
-        if tenant is not None and tenant.rate:
-            fits, total = yield from self._admit(tenant, req)
-            if not fits:
-                return self._answer(req, 429, self.quota.room_in(tenant, total))
-        service = req.service = self.routes.services.get(service_of(route, self.random.random()))
-        if service is None:
-            return self._answer(req, 503, COME_BACK)
-        allowed = homes(route, tenant)
-        budget = self._budget(service.name)
-        budget.request(self.now)
+            return self._answer(request, 404)
+        request.deadline = min(request.deadline, self.now + route.timeout)
+        if routes.plan.keyed and not route.public:
+            request.tenant = routes.tenant(arrival.key)
+            if request.tenant is None:
+                return self._answer(request, 401)
+        if not self.endpoints.endpoints:
+            return self._answer(request, 503, RETRY_AFTER)
+        return True
+
+    def _admit(self, request: Request) -> Generator[Wait, Any, bool]:
+        """Admission by the tenant's quota; false where the request is answered."""
+        tenant = request.tenant
+        if tenant is None or not tenant.rate:
+            return True
+        total, was_sent = yield from self._count(tenant, request)
+        if total is not None:
+            fits = self.quota.fits(self.now, tenant, total)
+        else:
+            fits = self.quota.fits_locally(self.now, tenant, len(self.registry.gateways))
+        if not fits:
+            return self._answer(request, 429, self.quota.retry_after(tenant, total))
+        self.quota.admitted(self.now, tenant, was_sent)
+        request.counted = True
+        return True
+
+    def _find_service(self, request: Request) -> bool:
+        """One of the services of the route's split; false where the request is answered."""
+        assert request.route is not None
+        name = choose_service(request.route, self.random.random())
+        request.service = request.routes.services.get(name)
+        if request.service is None:
+            return self._answer(request, 503, RETRY_AFTER)
+        return True
+
+    def _attempts(self, request: Request) -> Path:
+        """Attempts at workers, until one passes or no more may be made."""
+        assert request.service is not None
+        budget = self._budget(request.service.name)
+        budget.add_request(self.now)
         while True:
-            again = bool(req.tried)
-            worker = None
-            if self._may_send(req, budget):
-                most = min(WAIT_PART * route.target, req.left_at - self.now - MARGIN)
-                worker = self.workers.choose(self.now, service, route, allowed, (*req.tried, *req.missed), most)
-            if worker is not None and self.now < req.left_at - MARGIN:
-                if again:
-                    budget.repeat(self.now)
-                self._send(req, worker)
-            elif not req.out:
-                return self._give_up(req)
-            ended = yield OUTCOME
-            if ended is None:  # out for long: one more may go
+            if not self._begin_attempt(request, budget) and not request.in_flight:
+                return self._give_up(request)
+            outcome: Outcome | None = yield Wait.OUTCOME
+            if outcome is None:  # in flight for long: a hedged request may go out
                 continue
-            if ended.end is End.PASSED:
-                return self._relay(req, ended)
-            self._failed(req, ended)
-            if len(req.missed) >= CONNECTS and not req.out:
-                return self._give_up(req)
-            while req.out and not self._may_send(req, budget):
-                ended = yield OUTCOME
-                if ended is None:
+            if outcome.end is End.PASSED:
+                return self._relay(request, outcome)
+            self._record_failure(request, outcome)
+            if len(request.unreachable) >= MAX_UNREACHABLE and not request.in_flight:
+                return self._give_up(request)
+            while request.in_flight and not self._may_attempt(request, budget):
+                outcome = yield Wait.OUTCOME
+                if outcome is None:
                     continue
-                if ended.end is End.PASSED:
-                    return self._relay(req, ended)
-                self._failed(req, ended)
+                if outcome.end is End.PASSED:
+                    return self._relay(request, outcome)
+                self._record_failure(request, outcome)
 
-    def _failed(self, req, outcome):
-        """A dispatch ended without success."""
-        if not outcome.sent or outcome.end is End.NO_CONNECTION:
-            req.tried.remove(outcome.worker)
-            req.missed.append(outcome.worker)
-        elif not surely_never_ran(outcome):
-            req.ran = True
-            req.failure = outcome if outcome.end is End.ERROR and outcome.status >= 300 else req.failure
+    # Attempts --------------------------------------------------------------------------------------------------------
 
-    def _may_send(self, req, budget):
-        """One worker more: the first is free of the budget."""
-        if (req.out or req.ran) and not self._repeatable(req):
+    def _begin_attempt(self, request: Request, budget: RetryBudget) -> bool:
+        """Forwards the request once more, where that is allowed and a worker is free."""
+        if not self._may_attempt(request, budget):
+            return False
+        endpoint = self._choose_endpoint(request)
+        if endpoint is None or self.now >= request.deadline - ANSWER_MARGIN:
+            return False
+        if request.tried:
+            budget.add_retry(self.now)
+        self._forward(request, endpoint)
+        return True
+
+    def _may_attempt(self, request: Request, budget: RetryBudget) -> bool:
+        """May it go to one worker more? The first is free of the budget."""
+        assert request.route is not None
+        if (request.in_flight or request.may_have_run) and not self._repeatable(request):
+            return False
+        if len(request.tried) >= request.route.tries:
             return False
-        again = bool(req.tried)
-        return len(req.tried) < req.route.tries and (not again or budget.may(self.now, len(self.registry.gateways)))
+        return not request.tried or budget.allows_retry(self.now, len(self.registry.gateways))
 
-    def _repeatable(self, req):
-        """May it run more than once, by the route that it was taken for and by the one that holds for it now?"""
-        if req.route.kind not in REPEATABLE:
+    def _repeatable(self, request: Request) -> bool:
+        """May it run more than once, by the route under which it was taken and by the one that is in force for it now?"""
+        assert request.route is not None and self.routes is not None
+        if request.route.kind not in REPEATABLE:
             return False
-        if req.routes is self.routes:
+        if request.routes is self.routes:
             return True
-        route = self.routes.find(req.told.host, req.told.path)
+        route = self.routes.find(request.arrival.host, request.arrival.path)
         return route is not None and route.kind in REPEATABLE
 
-    def _admit(self, tenant, req):
-        """One add of the request's unit; the total returned decides. Without an answer, our part of the limit does."""
-        counter = self._counter(tenant.name)
-        gateway = self.registry.gateways.get(counter)
-        total = None
-        if gateway is not None:
-            count, wait = self.quota.ask(self.now, tenant, counter, self.registry.version, req)
-            self.orders.append(t.Add(None if gateway.node == self.set.node else gateway.ip, count))
-            if wait:
-                self._at(self.now + min(wait, req.left_at - self.now), self._uncounted, req, count.ask, counter)
-                total = yield COUNT
-            else:
-                self._at(self.now + 0.5, self._uncounted, None, count.ask, counter)
-        if total is not None:
-            fits = self.quota.fits(self.now, tenant, total)
-        else:
-            fits = self.quota.fits_unasked(self.now, tenant, len(self.registry.gateways))
-        if fits:
-            self.quota.took(self.now, tenant, gateway is not None)
-            req.counted = True
-        return fits, total
-
-    def _counter(self, name):
-        """The gateway that holds a tenant's counts; remembered while the same ones live."""
-        if name not in self.counters:
-            self.counters[name] = rendezvous.first(name, self.registry.gateways)
-        return self.counters[name]
-
-    def _uncounted(self, req, ask, counter):
-        if self.quota.late(ask, counter) is not None and req is not None and not req.closed:
-            self._resume(req, None, COUNT)
-
-    def _budget(self, name):
-        budget = self.budgets.get(name)
+    def _choose_endpoint(self, request: Request) -> Endpoint | None:
+        assert request.route is not None and request.service is not None
+        remaining = request.deadline - self.now - ANSWER_MARGIN
+        return self.endpoints.choose(
+            self.now,
+            request.service,
+            request.route,
+            allowed_regions(request.route, request.tenant),
+            (*request.tried, *request.unreachable),
+            min(MAX_QUEUE_WAIT * request.route.target, remaining),
+        )
+
+    def _forward(self, request: Request, endpoint: Endpoint) -> None:
+        assert request.route is not None and request.service is not None
+        worker, attempt = endpoint.listed, request.attempts
+        request.attempts += 1
+        request.tried.append(worker.id)
+        request.in_flight[attempt] = Attempt(worker.id, self.now)
+        self.endpoints.attempt_began(self.now, endpoint, request.service)
+        self.forwarded += 1
+        tenant = request.tenant.name if request.tenant is not None else None
+        timeout = max(0.001, request.deadline - self.now - ANSWER_MARGIN)
+        self._execute(ForwardRequest(request.number, attempt, worker.id, worker.address, tenant, timeout))
+        if request.route.kind in REPEATABLE:
+            usual = self.endpoints.usual_latency(self.now, request.route)
+            hedge_at = self.now + max(MIN_HEDGE_DELAY, HEDGE_AFTER * usual)
+            self._timers.add(hedge_at, self._on_overdue, request, attempt)
+
+    def _on_overdue(self, request: Request, attempt: int) -> None:
+        """Far longer than usual: the worker may be unreachable, and a repeatable request still has time elsewhere."""
+        if attempt not in request.in_flight:
+            return
+        self.endpoints.attempt_overdue(self.now, request.in_flight[attempt].worker)
+        if not request.closed and request.wait is Wait.OUTCOME:
+            self._resume(request, None, Wait.OUTCOME)
+
+    def _record_failure(self, request: Request, outcome: Outcome) -> None:
+        """An attempt ended without success."""
+        if not outcome.sent or outcome.end is End.NO_CONNECTION:
+            request.tried.remove(outcome.worker)
+            request.unreachable.append(outcome.worker)
+        elif not surely_never_ran(outcome):
+            request.may_have_run = True
+            if outcome.end is End.ERROR and outcome.status >= 300:
+                request.failure = outcome
+
+    def _budget(self, service: str) -> RetryBudget:
+        budget = self._budgets.get(service)
         if budget is None:
-            bound = self.set.bound
-            budget = self.budgets[name] = Budget(
+            bound = self.settings.bound
+            budget = self._budgets[service] = RetryBudget(
                 bound("retryRatio", 0.1), bound("retryWindowS", 10.0), bound("retrySlack", 10.0)
             )
         return budget
 
-    def _send(self, req, worker):
-        dispatch, req.sent = req.sent, req.sent + 1
-        req.tried.append(worker.told.id)
-        req.out[dispatch] = (worker.told.id, self.now)
-        self.workers.sent(self.now, worker, req.service)
-        self.sent += 1
-        left = req.left_at - self.now
-        self.orders.append(
-            t.Send(
-                req.number,
-                dispatch,
-                worker.told.id,
-                worker.told.address,
-                req.tenant.name if req.tenant else None,
-                max(0.001, left - MARGIN),
-            )
-        )
-        if req.route.kind in REPEATABLE:
-            usual = self.workers.usual_of(self.now, req.route)
-            self._at(self.now + max(LEAST_PATIENCE, PATIENCE * usual), self._overlong, req, dispatch)
+    # Counts ----------------------------------------------------------------------------------------------------------
 
-    def _overlong(self, req, dispatch):
-        """Far longer than usual: the worker may be dark, and a repeatable request still has time elsewhere."""
-        if dispatch not in req.out:
-            return
-        self.workers.overlong(self.now, req.out[dispatch][0])
-        if not req.closed and req.waits == OUTCOME:
-            self._resume(req, None, OUTCOME)
+    def _count(self, tenant: Tenant, request: Request) -> Generator[Wait, Any, CountResult]:
+        """One add of the request's unit at the tenant's counter."""
+        counter = self._counter(tenant.name)
+        gateway = self.registry.gateways.get(counter) if counter is not None else None
+        if counter is None or gateway is None:
+            return CountResult(None, False)
+        count, timeout = self.quota.request_add(self.now, tenant, counter, self.registry.version, request)
+        self._execute(SendCount(None if gateway.node == self.settings.node else gateway.ip, count))
+        if not timeout:
+            self._timers.add(self.now + LATE_COUNT_TIMEOUT, self._on_count_timeout, None, count.request_id, counter)
+            return CountResult(None, True)
+        timeout = min(timeout, request.deadline - self.now)
+        self._timers.add(self.now + timeout, self._on_count_timeout, request, count.request_id, counter)
+        total: Total | None = yield Wait.COUNT
+        return CountResult(total, True)
+
+    def _counter(self, tenant: str) -> str | None:
+        """The gateway that has a tenant's counts; remembered while the same gateways live."""
+        if tenant not in self._counters:
+            self._counters[tenant] = rendezvous.first(tenant, self.registry.gateways)
+        return self._counters[tenant]
+
+    def _on_count_timeout(self, request: Request | None, request_id: int, counter: str) -> None:
+        pending = self.quota.timed_out(request_id, counter)
+        if pending is not None and request is not None and not request.closed:
+            self._resume(request, None, Wait.COUNT)
+
+    # Answers ---------------------------------------------------------------------------------------------------------
+
+    def _relay(self, request: Request, outcome: Outcome) -> None:
+        if not request.closed:
+            self._execute(RelayAnswer(request.number, outcome))
+        self._close(request)
+
+    def _answer(self, request: Request, status: int, retry_after: float = 0.0) -> bool:
+        """Answers the request; false, as it goes no further."""
+        if not request.closed:
+            self.unserved += status in (502, 503, 504)
+            self._execute(AnswerRequest(request.number, status, retry_after))
+        self._close(request)
+        return False
+
+    def _give_up(self, request: Request) -> None:
+        """Answered at once. What surely never ran may be sent again by the client; a failure of the worker's own is relayed."""
+        if not request.may_have_run and not request.in_flight:
+            if request.counted and request.tenant is not None:
+                self.quota.give_back(self.now, request.tenant)
+            self._answer(request, 503, RETRY_AFTER_TRIED if request.tried else RETRY_AFTER)
+        elif request.failure is not None and request.failure.status not in PROMISES:
+            self._relay(request, request.failure)
+        else:
+            self._answer(request, 504 if self.now >= request.deadline - 2 * ANSWER_MARGIN else 502)
 
-    def _relay(self, req, outcome):
-        if not req.closed:
-            self.orders.append(t.Relay(req.number, outcome))
-        self._close(req)
+    def _execute(self, command: Command) -> None:
+        self._commands.append(command)
 
-    def _answer(self, req, status, retry=0.0):
-        if not req.closed:
-            self.unserved += status in (502, 503, 504)
-            self.orders.append(t.Answer(req.number, status, retry))
-        self._close(req)
-
-    def _give_up(self, req):
-        """Answered at once. What surely never ran may be asked again; a failure of the worker's own goes as it came."""
-        if not req.ran and not req.out:
-            if req.counted:
-                self.quota.back(self.now, req.tenant)
-            return self._answer(req, 503, FULL_BACK if req.tried else COME_BACK)
-        if req.failure is not None and req.failure.status not in PROMISES:
-            return self._relay(req, req.failure)
-        return self._answer(req, 504 if self.now >= req.left_at - 2 * MARGIN else 502)
-
-    # What is heard ---------------------------------------------------------------------------------------------------
-
-    def _asked(self, told):
-        req = Request()
-        req.number, req.told, req.left_at, req.closed = told.number, told, self.now + told.left, False
-        req.tried, req.missed, req.out, req.sent, req.ran, req.failure = [], [], {}, 0, False, None
-        req.waits, req.routes, req.route, req.tenant, req.counted = None, None, None, None, False
+    # Events ----------------------------------------------------------------------------------------------------------
+
+    def _on_arrival(self, arrival: RequestArrived) -> None:
         if self.routes is None:
-            self.orders.append(t.Answer(told.number, 503, COME_BACK))
+            self._execute(AnswerRequest(arrival.number, 503, RETRY_AFTER))
             return
-        self.requests[told.number] = req
-        req.path = self._path(req)
-        self._resume(req, None, None)
-
-    def _resume(self, req, value, waits):
-        if req.closed or req.waits != waits:
+        request = Request(arrival, self.now + arrival.patience, self.routes)
+        self.requests[arrival.number] = request
+        request.path = self._path(request)
+        self._resume(request, None, Wait.START)
+
+    def _resume(self, request: Request, value: Total | Outcome | None, wait: Wait) -> None:
+        """Goes on with the path of a request, if it waits for that."""
+        if request.closed or request.wait is not wait or request.path is None:
             return
-        req.waits = "running"
+        request.wait = Wait.RUNNING
         try:
-            req.waits = req.path.send(value)
+            request.wait = request.path.send(value)
         except StopIteration:
-            req.waits = None
+            request.wait = Wait.NOTHING
 
-    def _ended(self, outcome):
-        req = self.requests.get(outcome.number)
-        if req is None or outcome.dispatch not in req.out:
+    def _on_outcome(self, outcome: Outcome) -> None:
+        request = self.requests.get(outcome.number)
+        if request is None or request.route is None or outcome.dispatch not in request.in_flight:
             return
-        worker, at = req.out.pop(outcome.dispatch)
-        self.workers.ended(self.now, worker, req.route, outcome, self.now - at)
-        if not req.closed:
-            self._resume(req, outcome, OUTCOME)
-        if req.closed and not req.out:
-            self.requests.pop(req.number, None)
-
-    def _close(self, req):
-        req.closed = True
-        if not req.out:
-            self.requests.pop(req.number, None)
-
-    def _gone(self, told):
-        req = self.requests.get(told.number)
-        if req is not None:
-            self._close(req)
-
-    def _counted(self, told):
-        pending = self.quota.answered(self.now, told.total)
+        attempt = request.in_flight.pop(outcome.dispatch)
+        latency = self.now - attempt.began_at
+        self.endpoints.attempt_ended(self.now, attempt.worker, request.route, outcome, latency)
+        if not request.closed:
+            self._resume(request, outcome, Wait.OUTCOME)
+        if request.closed and not request.in_flight:
+            self.requests.pop(request.number, None)
+
+    def _close(self, request: Request) -> None:
+        request.closed = True
+        if not request.in_flight:
+            self.requests.pop(request.number, None)
+
+    def _on_client_gone(self, event: ClientGone) -> None:
+        request = self.requests.get(event.number)
+        if request is not None:
+            self._close(request)
+
+    def _on_count_answered(self, total: Total) -> None:
+        pending = self.quota.match(self.now, total)
         if pending is not None:
-            self._resume(pending.done, told.total, COUNT)
+            self._resume(pending.request, total, Wait.COUNT)
 
-    def _configuration_changed(self, told):
+    def _on_configuration_changed(self, update: ConfigurationUpdate) -> None:
         """Never back to an older revision within one incarnation."""
-        update = told.update
         if update.revision <= self.revision:
             return
         if update.plan is not None:
@@ -284,31 +381,9 @@
         if self.routes is None:
             return  # a revision without its plan is of no use yet
         self.revision, self.evacuated = update.revision, update.evacuated
-        self.workers.zones_told(self.now, update.evacuated)
-
-    def _registry_changed(self, told):
-        if self.registry.follow(told.update, self.now):
-            self.counters = {}
-            self.workers.registry(self.now, self.registry.workers, self.registry.gateways)
-
-    # Timers ----------------------------------------------------------------------------------------------------------
-
-    def _at(self, at, call, *args):
-        self.timer += 1
-        heappush(self.timers, (at, self.timer, call, args))
-
-    def _tick(self, _):
-        while self.timers and self.timers[0][0] <= self.now:
-            _, _, call, args = heappop(self.timers)
-            call(*args)
-
-
-HEAR = {
-    t.Asked: RequestRouter._asked,
-    t.Gone: RequestRouter._gone,
-    t.Tick: RequestRouter._tick,
-    t.Counted: RequestRouter._counted,
-    t.ConfigurationChanged: RequestRouter._configuration_changed,
-    t.RegistryChanged: RequestRouter._registry_changed,
-    Outcome: RequestRouter._ended,
-}
+        self.endpoints.update_evacuated(self.now, update.evacuated)
+
+    def _on_registry_changed(self, update: RegistryUpdate) -> None:
+        if self.registry.follow(update, self.now):
+            self._counters = {}
+            self.endpoints.update_registry(self.now, self.registry.workers, self.registry.gateways)
--- a/fernyard/cluster/data_plane/routes.py
+++ b/fernyard/cluster/data_plane/routes.py
@@ -1,33 +1,37 @@
 """Which route, tenant and service a request is for. Free of I/O."""
 
+from collections.abc import Sequence
+
+from ..common.messages import Plan, Route, Tenant
+
 
 class Routes:
     """A plan, ready for look-ups."""
 
-    def __init__(self, plan):
+    def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.services = {service.name: service for service in plan.services}
-        # Longest prefix first; of routes under one prefix the last told.
+        # Longest prefix first; of routes under one prefix the last listed.
         self.hosts = {
             host: sorted(reversed(routes), key=lambda route: -len(route.prefix)) for host, routes in plan.hosts.items()
         }
 
-    def find(self, host, path):
+    def find(self, host: str, path: str) -> Route | None:
         """The route with the longest prefix that begins the path, or None."""
         host = host.lower()
-        routes = self.hosts.get(host)
+        routes: Sequence[Route] | None = self.hosts.get(host)
         if routes is None:
             routes = self.hosts.get(host.partition(":")[0], ())
         path = path.partition("?")[0]
         return next((route for route in routes if path.startswith(route.prefix)), None)
 
-    def tenant(self, key):
-        """The tenant that holds the key, or None."""
-        number = self.plan.keys.get(key)
-        return None if number is None else self.plan.tenants[number]
+    def tenant(self, key: str | None) -> Tenant | None:
+        """The tenant that the key belongs to, or None."""
+        index = self.plan.keys.get(key) if key is not None else None
+        return None if index is None else self.plan.tenants[index]
 
 
-def homes(route, tenant):
+def allowed_regions(route: Route, tenant: Tenant | None) -> list[str] | None:
     """Regions that may serve it, or None for all; where route and tenant have homes, both bind."""
     if tenant is None or not tenant.homes:
         return route.homes or None
@@ -36,7 +40,7 @@
     return [region for region in route.homes if region in tenant.homes]
 
 
-def service_of(route, chance):
+def choose_service(route: Route, chance: float) -> str:
     """One service of the route's split by weight; `chance` in [0, 1)."""
     if len(route.split) == 1:
         return route.split[0][0]
--- a/fernyard/cluster/slopes.py
+++ b/fernyard/cluster/slopes.py
@@ -41,8 +41,9 @@
     Vote,
     ZoneEvacuation,
 )
-from .data_plane import events as t
-from .data_plane.quota import Ledger, Quota
+from .data_plane import events
+from .data_plane.counter import CounterTable
+from .data_plane.quota import QuotaClient
 from .data_plane.router import RequestRouter
 from .data_plane.routes import Routes
 
@@ -173,7 +174,7 @@
         bound=lambda name, default: default,
     )
     router = RequestRouter(0.0, settings, 1)
-    router.step(0.0, t.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), *told, 0.0)))
+    router.step(0.0, events.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), *told, 0.0)))
     return {
         "workers": workers,
         "gateways": gateways,
@@ -181,7 +182,7 @@
         "held_bytes": size,
         "change_bytes": len(encode(leader.since(version, 0.0))),
         "write_us": write,
-        "sort_us": timed(lambda: router.workers.registry(0.0, *told), 5),
+        "sort_us": timed(lambda: router.endpoints.update_registry(0.0, *told), 5),
     }
 
 
@@ -197,34 +198,38 @@
     router, state = RequestRouter(0.0, settings, 1), SimpleNamespace(number=0, now=0.0)
     router.step(
         0.0,
-        t.ConfigurationChanged(
+        events.ConfigurationChanged(
             ConfigurationUpdate(1, configuration.plan_of(*configuration.read(example_configuration(50, tenants))), [])
         ),
     )
-    router.step(0.0, t.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), *registry(workers, gateways), 0.0)))
+    router.step(0.0, events.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), *registry(workers, gateways), 0.0)))
 
     def request():
         state.number, state.now = state.number + 1, state.now + 0.05
-        orders = router.step(state.now, t.Asked(state.number, "GET", "h0.example", "/p7/x", "key00000001a", 2.0))
+        orders = router.step(
+            state.now, events.RequestArrived(state.number, "GET", "h0.example", "/p7/x", "key00000001a", 2.0)
+        )
         count = orders[0].count
-        (send,) = router.step(state.now, t.Counted(Total(count.ask, 1, count.counter, 1, 0.0, 1.0, 0.5, NO_VERSION)))
+        (send,) = router.step(
+            state.now, events.CountAnswered(Total(count.request_id, 1, count.counter, 1, 0.0, 1.0, 0.5, NO_VERSION))
+        )
         router.step(state.now, Outcome(state.number, 0, send.worker, End.PASSED, 100, b"", (), 200))
-        router.step(state.now, t.Tick())
+        router.step(state.now, events.Tick())
 
     return {"workers of the service": workers // 4, "gateways": gateways, "request_us": timed(request, 500)}
 
 
 def of_counts(tenants):
-    ledger, quota, chance = Ledger("c", 1), Quota("edge-0", 1), Random(1)
+    ledger, quota, chance = CounterTable("c", 1), QuotaClient("edge-0", 1), Random(1)
     quotas = [Tenant(f"t{number}", None, 100.0, 100.0, []) for number in range(tenants)]
 
     def add():
-        count, _ = quota.ask(0.0, chance.choice(quotas), "c", NO_VERSION, None)
+        count, _ = quota.request_add(0.0, chance.choice(quotas), "c", NO_VERSION, None)
         return ledger.add(0.0, count, NO_VERSION)
 
     def fill():
         for tenant in quotas:
-            ledger.add(0.0, quota.ask(0.0, tenant, "c", NO_VERSION, None)[0], NO_VERSION)
+            ledger.add(0.0, quota.request_add(0.0, tenant, "c", NO_VERSION, None)[0], NO_VERSION)
 
     _, size = held(fill)
     return {"tenants": tenants, "held_bytes": size, "add_us": timed(add, 500)}
--- a/tests/cluster/gateway.py
+++ b/tests/cluster/gateway.py
@@ -6,7 +6,7 @@
 
 from fernyard.cluster.common import settings
 from fernyard.cluster.common.messages import NO_VERSION, ConfigurationUpdate, RegistryUpdate, Worker
-from fernyard.cluster.data_plane import events as t
+from fernyard.cluster.data_plane import events
 from fernyard.cluster.data_plane.process import DataPlane
 from fernyard.lab.runner import free_port
 
@@ -76,17 +76,17 @@
         self.plane, self.port, self.workers, self.number = DataPlane(told), free_port(), workers, 0
 
     def configure(self, version=5, **told):
-        self.plane.post(t.ConfigurationChanged(ConfigurationUpdate(version, plan(version, **told), [])))
+        self.plane.handle_event(events.ConfigurationChanged(ConfigurationUpdate(version, plan(version, **told), [])))
 
     def start(self):
         # Without a rest after each answer: else whether a connection is used again goes by time.
-        self.plane.upstreams.limits = replace(self.plane.limits, worker_rest=0.0)
-        self.plane.upstreams.start()
+        self.plane.workers.limits = replace(self.plane.limits, worker_rest=0.0)
+        self.plane.workers.start()
         self.plane.listener.listen((HOST, self.port))
         hosts = {"h.example": [route("read", "/r/"), route("write", "/w/", "mutating")]}
         self.configure(hosts=hosts, keys={"k": 0})
         known = {f"w{n}": Worker(f"w{n}", "s", f"{HOST}:{w.port}", "z", 50, False) for n, w in enumerate(self.workers)}
-        self.plane.post(t.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), known, {}, self.plane.now())))
+        self.plane.handle_event(events.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), known, {}, self.plane.now())))
 
     def head(self, id, path, method="POST", body=b"", left=2000, **headers):
         told = {"Host": "h.example", "Attempt-Id": id, "Deadline-Ms": left, "Key": "k", "Content-Length": len(body)}
@@ -130,4 +130,4 @@
             for writer in worker.writers:
                 writer.close()
         await made.plane.listener.close(made.plane.now())
-        await made.plane.upstreams.close()
+        await made.plane.workers.close()
--- a/tests/cluster/test_answers.py
+++ b/tests/cluster/test_answers.py
@@ -8,8 +8,8 @@
 import testtools
 from testtools.matchers import Equals, MatchesAny
 
-from fernyard.cluster.data_plane import upstreams
-from fernyard.cluster.data_plane.upstreams import WorkerConnections
+from fernyard.cluster.data_plane import worker_connections
+from fernyard.cluster.data_plane.worker_connections import WorkerConnections
 from fernyard.workers import connections, pool
 
 from .gateway import OK, answer, gateway, head
@@ -249,7 +249,7 @@
 # Guard -> what takes it out, and a test that then fails.
 GUARDS = {
     "an answer bears its request's id": (
-        lambda: mock.patch.object(upstreams, "_is_of", lambda req, answer: True),
+        lambda: mock.patch.object(worker_connections, "_is_answer_to", lambda request, answer: True),
         lambda test: test.check_late("again", LATE["the first answer again"]),
     ),
     "nothing comes while nobody waits": (
@@ -257,7 +257,7 @@
         lambda test: test.check_idle("failure"),
     ),
     "an answer tells its end": (
-        lambda: mock.patch.object(upstreams, "_tells_its_end", lambda answer: True),
+        lambda: mock.patch.object(worker_connections, "_is_delimited", lambda answer: True),
         TestPairs.test_cut,
     ),
     "one status line in a head": (
@@ -269,7 +269,7 @@
         lambda test: test.check_idle("no body"),
     ),
     "only some statuses say Not-Run": (
-        lambda: mock.patch.object(upstreams, "NOT_RUN", frozenset(range(600))),
+        lambda: mock.patch.object(worker_connections, "NOT_RUN_STATUSES", frozenset(range(600))),
         lambda test: test.check("500", *FIRST["500 with Not-Run"]),
     ),
     "an id is carried once by a connection": (
--- a/tests/cluster/test_at_most_once.py
+++ b/tests/cluster/test_at_most_once.py
@@ -15,7 +15,7 @@
     Total,
     Worker,
 )
-from fernyard.cluster.data_plane import events as t, router as router_module
+from fernyard.cluster.data_plane import commands, events, router as router_module
 from fernyard.cluster.data_plane.router import PROMISES, RequestRouter
 from fernyard.interface import End
 from fernyard.workers import Outcome
@@ -28,7 +28,7 @@
 
 def configured(version, **kinds):
     hosts = {"h.example": [route(name, f"/{name}/", kind) for name, kind in kinds.items()]}
-    return t.ConfigurationChanged(ConfigurationUpdate(version, plan(version, hosts=hosts), []))
+    return events.ConfigurationChanged(ConfigurationUpdate(version, plan(version, hosts=hosts), []))
 
 
 def ended(end, status=0, sent=True, which=-1):
@@ -38,7 +38,7 @@
         sends = bench.sends(number)
         if sends:
             send = sends[which]
-            bench.tell(Outcome(number, send.dispatch, send.worker, end, 100, b"x", (), status, sent))
+            bench.tell(Outcome(number, send.attempt, send.worker, end, 100, b"x", (), status, sent))
 
     return tell
 
@@ -52,7 +52,7 @@
     workers = dict.fromkeys(WORKERS) | {
         f"new-{n}": Worker(n, "other", w.address, "z1", 4, False) for n, w in WORKERS.items()
     }
-    bench.tell(t.RegistryChanged(RegistryUpdate((1, 1), (1, 2), workers, {}, bench.now)))
+    bench.tell(events.RegistryChanged(RegistryUpdate((1, 1), (1, 2), workers, {}, bench.now)))
 
 
 EVENTS = {
@@ -70,12 +70,12 @@
     "not written": ended(End.UNSENT),
     "an outcome that came before": ended(End.FULL, 503, which=0),
     "an outcome of no dispatch": told(lambda n: Outcome(n, 99, "w1", End.PASSED, 1, b"", (), 200)),
-    "client gone": told(t.Gone),
+    "client gone": told(events.ClientGone),
     "thawed after 3 s": lambda bench, number: bench.later(3.1),
     "kind changed": told(lambda n: configured(9, w="idempotent")),
     "route dropped": told(lambda n: configured(9)),
     "workers' addresses reused": reused,
-    "a foreign total": told(lambda n: t.Counted(Total(1, 99, 0, 0, 0.0, 0.0, 1.0, NO_VERSION))),
+    "a foreign total": told(lambda n: events.CountAnswered(Total(1, 99, 0, 0, 0.0, 0.0, 1.0, NO_VERSION))),
 }
 
 
@@ -95,7 +95,7 @@
 
 def gone(bench):
     number = bench.ask("/w/x")
-    bench.tell(t.Gone(number))
+    bench.tell(events.ClientGone(number))
     return number
 
 
@@ -211,8 +211,8 @@
     def note_sends(self):
         """Dispatches that went out while the route was of the kind that may not be repeated."""
         for order in self.bench.orders[self.seen :]:
-            if type(order) is t.Send and self.kinds[self.name_of[order.number]] == "mutating":
-                self.sent_once.add((order.number, order.dispatch))
+            if type(order) is commands.ForwardRequest and self.kinds[self.name_of[order.number]] == "mutating":
+                self.sent_once.add((order.number, order.attempt))
         self.seen = len(self.bench.orders)
 
     def ask(self):
@@ -230,23 +230,23 @@
             return
         send = self.random.choice(sends)
         runs_now, runs_later, end, status, sent = self.random.choice(self.FATES)
-        if (send.number, send.dispatch) not in self.over:
-            self.over.append((send.number, send.dispatch))
-            self.runs[send.number] += [send.dispatch] * runs_now
+        if (send.number, send.attempt) not in self.over:
+            self.over.append((send.number, send.attempt))
+            self.runs[send.number] += [send.attempt] * runs_now
             self.later += [send] * runs_later
-        self.bench.tell(Outcome(send.number, send.dispatch, send.worker, end, 100, b"x", (), status, sent))
+        self.bench.tell(Outcome(send.number, send.attempt, send.worker, end, 100, b"x", (), status, sent))
 
     def sends(self):
-        return [order for order in self.bench.orders if type(order) is t.Send]
+        return [order for order in self.bench.orders if type(order) is commands.ForwardRequest]
 
     def run_late(self):
         if self.later:
             send = self.later.pop()
-            self.runs[send.number].append(send.dispatch)
+            self.runs[send.number].append(send.attempt)
 
     def go(self):
         if self.name_of:
-            self.bench.tell(t.Gone(self.random.choice(list(self.name_of))))
+            self.bench.tell(events.ClientGone(self.random.choice(list(self.name_of))))
 
     def pass_time(self):
         self.bench.later(self.random.choice((0.01, 0.3, 3.0)))  # the last: frozen, all timers due at once
@@ -279,13 +279,13 @@
         World(seed).play()
 
 
-def repeatable_when_taken(self, req):
-    return req.route.kind in router_module.REPEATABLE
+def repeatable_when_taken(self, request):
+    return request.route.kind in router_module.REPEATABLE
 
 
 GUARDS = {
     "what may have run is sent again only if it may be repeated": lambda: mock.patch.object(
-        RequestRouter, "_repeatable", lambda self, req: True
+        RequestRouter, "_repeatable", lambda self, request: True
     ),
     "the configuration that holds now is asked, too": lambda: mock.patch.object(
         RequestRouter, "_repeatable", repeatable_when_taken
--- a/tests/cluster/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -11,7 +11,9 @@
 from fernyard.cluster.common.messages import NO_VERSION, Tenant
 from fernyard.cluster.common.replay import Incarnations, ReplayWindow
 from fernyard.cluster.data_plane import quota as quota_module
-from fernyard.cluster.data_plane.quota import Ledger, Quota, counter_mark
+from fernyard.cluster.data_plane.counter import CounterTable
+from fernyard.cluster.data_plane.quota import QuotaClient
+from fernyard.cluster.data_plane.usage import counter_id
 
 TENANT = Tenant("t", None, 1000.0, 1000.0, [])
 RUNS, STEPS = 150, 60
@@ -54,24 +56,24 @@
 
     CASES = (
         ({}, True),
-        ({"ask": 2}, False),
+        ({"request_id": 2}, False),
         ({"incarnation": 8}, False),
-        ({"counter": counter_mark("other")}, False),
+        ({"counter": counter_id("other")}, False),
         ({"counter_incarnation": 4}, False),  # from before the counter's restart
         ({"counter_incarnation": 6}, True),  # it has just restarted
     )
 
     def test_an_answer_is_taken_by_its_ask_alone(self):
         for changed, taken in self.CASES:
-            quota, ledger = Quota("n", 7), Ledger("c", 5)
+            quota, ledger = QuotaClient("n", 7), CounterTable("c", 5)
             for incarnation in 4, 5:
                 quota.incarnations.setdefault("c", Incarnations()).accept(0.0, incarnation)
-            count, _ = quota.ask(0.1, TENANT, "c", NO_VERSION, "waits")
+            count, _ = quota.request_add(0.1, TENANT, "c", NO_VERSION, "waits")
             total = msgspec.structs.replace(ledger.add(0.1, count, NO_VERSION), **changed)
-            pending = quota.answered(0.2, total)
-            self.assertThat(pending is not None and pending.done == "waits", Equals(taken), changed)
-            self.assertThat(quota.answered(0.2, total), Equals(None), changed)  # doubled
-            late = quota.late(count.ask, "c")
+            pending = quota.match(0.2, total)
+            self.assertThat(pending is not None and pending.request == "waits", Equals(taken), changed)
+            self.assertThat(quota.match(0.2, total), Equals(None), changed)  # doubled
+            late = quota.timed_out(count.request_id, "c")
             self.assertThat(late is None, Equals(taken), changed)
 
 
@@ -80,31 +82,31 @@
         """(what is changed of an add that was counted, whether it counts again)"""
         for changed, counted in (
             ({}, False),
-            ({"ask": 2}, True),
-            ({"ask": 2, "counter": 1}, False),
-            ({"ask": 2, "incarnation": 3}, False),  # a former incarnation of the gateway
+            ({"request_id": 2}, True),
+            ({"request_id": 2, "counter": 1}, False),
+            ({"request_id": 2, "incarnation": 3}, False),  # a former incarnation of the gateway
         ):
-            ledger, before, quota = Ledger("c", 5), Quota("n", 3), Quota("n", 7)
-            ledger.add(0.0, before.ask(0.0, TENANT, "c", NO_VERSION, None)[0], NO_VERSION)
-            count, _ = quota.ask(0.1, TENANT, "c", NO_VERSION, None)
+            ledger, before, quota = CounterTable("c", 5), QuotaClient("n", 3), QuotaClient("n", 7)
+            ledger.add(0.0, before.request_add(0.0, TENANT, "c", NO_VERSION, None)[0], NO_VERSION)
+            count, _ = quota.request_add(0.1, TENANT, "c", NO_VERSION, None)
             first = ledger.add(0.1, count, NO_VERSION)
             again = ledger.add(0.1, msgspec.structs.replace(count, **changed), NO_VERSION)
             self.assertThat(again is not None, Equals(counted), changed)
-            held = ledger.tallies["t"].tally.total
+            held = ledger.tenants["t"].tally.total
             self.assertThat(held, Equals(first.current + counted), changed)
 
     def test_what_is_owed_is_neither_lost_nor_taken_twice(self):
         """Orders in which three adds arrive, some not at all: what was let past without asking is counted once."""
         for order in ([1, 2, 3], [1, 3], [1, 3, 2], [3], [2, 1, 3], [1, 3, 3]):
-            ledger, quota, counts = Ledger("c", 5), Quota("n", 7), {}
+            ledger, quota, counts = CounterTable("c", 5), QuotaClient("n", 7), {}
             for number in 1, 2, 3:
-                counts[number], _ = quota.ask(0.0, TENANT, "c", NO_VERSION, None)
+                counts[number], _ = quota.request_add(0.0, TENANT, "c", NO_VERSION, None)
                 for _ in range(4):
-                    quota.took(0.0, TENANT, False)
-                quota.back(0.0, TENANT)
+                    quota.admitted(0.0, TENANT, False)
+                quota.give_back(0.0, TENANT)
             for number in order:
                 ledger.add(0.0, counts[number], NO_VERSION)
-            tally = ledger.tallies["t"].tally
+            tally = ledger.tenants["t"].tally
             # Of the first that came `recent` says what went before; two times three were let past before the third.
             self.assertThat(tally.was + tally.total - len(set(order)), Equals(6.0), order)
 
@@ -123,20 +125,20 @@
     def start(self, name):
         """A new incarnation of a proxy; asks of the former are nobody's any more."""
         self.incarnation += 1
-        self.proxies[name] = Quota(name, self.incarnation)
+        self.proxies[name] = QuotaClient(name, self.incarnation)
         self.waits = {key: ask for key, ask in self.waits.items() if key[0] != name}
         self.known[name] = set()
 
     def restart(self):
         self.incarnation += 1
-        self.ledger, self.added = Ledger("c", self.incarnation), {}
+        self.ledger, self.added = CounterTable("c", self.incarnation), {}
 
     def ask(self):
         name = self.random.choice(list(self.proxies))
         proxy = self.proxies[name]
-        count, _ = proxy.ask(self.now, TENANT, "c", NO_VERSION, None)
-        self.waits[name, proxy.incarnation, count.ask] = count
-        proxy.out[count.ask].done = (name, proxy.incarnation, count.ask)
+        count, _ = proxy.request_add(self.now, TENANT, "c", NO_VERSION, None)
+        self.waits[name, proxy.incarnation, count.request_id] = count
+        proxy.pending[count.request_id].request = (name, proxy.incarnation, count.request_id)
         self.held += [("count", count)] * self.random.choice((0, 1, 1, 2))
 
     def deliver(self):
@@ -147,7 +149,7 @@
             self.total(message)
 
     def count(self, count):
-        key = count.node, count.incarnation, count.ask
+        key = count.node, count.incarnation, count.request_id
         total = self.ledger.add(self.now, count, NO_VERSION)
         if total is None:
             return
@@ -159,16 +161,16 @@
     def total(self, total):
         """Each proxy gets it: an answer may stray to who has the address now."""
         for name, proxy in self.proxies.items():
-            pending = proxy.answered(self.now, total)
+            pending = proxy.match(self.now, total)
             if pending is None:
                 continue
-            if pending.done != (name, total.incarnation, total.ask) or pending.done not in self.waits:
-                raise AssertionError(f"taken by the wrong ask: {pending.done}")
+            if pending.request != (name, total.incarnation, total.request_id) or pending.request not in self.waits:
+                raise AssertionError(f"taken by the wrong ask: {pending.request}")
             known = self.known[name]
             if total.counter_incarnation in known and total.counter_incarnation < max(known):
                 raise AssertionError("an answer from before the counter's restart, after one from since")
             known.add(total.counter_incarnation)
-            del self.waits[pending.done]
+            del self.waits[pending.request]
 
     def play(self):
         steps = [self.ask] * 6 + [self.deliver] * 10 + [self.restart, lambda: self.start("n1")]
@@ -186,7 +188,7 @@
         Network(seed).play()
 
 
-def without_lives(self, now, incarnation):
+def one_incarnation_alone(self, now, incarnation):
     self.incarnations = [incarnation]
     return True
 
@@ -194,9 +196,11 @@
 GUARDS = {
     "each ask once": lambda: mock.patch.object(ReplayWindow, "accept", lambda self, number: True),
     "an answer bears the incarnation that asked": lambda: mock.patch.object(
-        Quota, "_answers", lambda self, pending, total: True
+        QuotaClient, "_answers", lambda self, pending, total: True
+    ),
+    "former incarnations are told apart": lambda: mock.patch.object(
+        quota_module.Incarnations, "accept", one_incarnation_alone
     ),
-    "former incarnations are told apart": lambda: mock.patch.object(quota_module.Incarnations, "accept", without_lives),
 }
 
 
--- a/tests/cluster/test_golden_routing.py
+++ b/tests/cluster/test_golden_routing.py
@@ -21,8 +21,8 @@
     Worker,
     encode,
 )
-from fernyard.cluster.data_plane import events as t
-from fernyard.cluster.data_plane.quota import Ledger
+from fernyard.cluster.data_plane import commands, events
+from fernyard.cluster.data_plane.counter import CounterTable
 from fernyard.cluster.data_plane.router import RequestRouter
 from fernyard.interface import End
 from fernyard.workers import Outcome
@@ -73,7 +73,7 @@
     def __init__(self, seed):
         self.random, self.now, self.number = Random(seed), 10.0, 0
         self.router = RequestRouter(self.now, settings(), 1)
-        self.ledgers = {"n1": Ledger("n1", 1), "n2": Ledger("n2", 2), "n3": Ledger("n3", 3)}
+        self.ledgers = {"n1": CounterTable("n1", 1), "n2": CounterTable("n2", 2), "n3": CounterTable("n3", 3)}
         self.out, self.asked, self.totals = [], [], []
         self.revision, self.registry = 0, 0
         self.digest, self.steps, self.lines = hashlib.sha256(), 0, []
@@ -89,12 +89,12 @@
             self.lines.append(f"{self.steps} {self.digest.hexdigest()[:16]}")
 
     def record(self, command):
-        if type(command) is t.Send:
-            self.out.append((command.number, command.dispatch, command.worker))
-            told = (command.number, command.dispatch, command.worker, command.address, command.tenant, command.limit)
-        elif type(command) is t.Answer:
-            told = (command.number, command.status, command.retry)
-        elif type(command) is t.Relay:
+        if type(command) is commands.ForwardRequest:
+            self.out.append((command.number, command.attempt, command.worker))
+            told = (command.number, command.attempt, command.worker, command.address, command.tenant, command.timeout)
+        elif type(command) is commands.AnswerRequest:
+            told = (command.number, command.status, command.retry_after)
+        elif type(command) is commands.RelayAnswer:
             told = (command.number, command.outcome.dispatch, command.outcome.status)
         else:
             self.totals.append(command.count)
@@ -111,7 +111,7 @@
         changed = plan(self.revision, hosts=hosts())
         changed.tenants = tenants
         evacuated = [zone for zone in ("z2", "z3") if self.random.random() < 0.2]
-        self.step(t.ConfigurationChanged(ConfigurationUpdate(self.revision, changed, evacuated)))
+        self.step(events.ConfigurationChanged(ConfigurationUpdate(self.revision, changed, evacuated)))
 
     def register(self):
         self.registry += 1
@@ -129,7 +129,7 @@
             if name == "n1" or self.random.random() < 0.8
         }
         update = RegistryUpdate(NO_VERSION, (1, self.registry), workers, gateways, self.now)
-        self.step(t.RegistryChanged(update))
+        self.step(events.RegistryChanged(update))
 
     def ask(self):
         self.number += 1
@@ -137,7 +137,7 @@
         left = self.random.choice((0.05, 0.5, 3.0))
         key, path = self.random.choice(KEYS), self.random.choice(PATHS)
         self.asked.append(self.number)
-        self.step(t.Asked(self.number, "GET", host, path, key, left))
+        self.step(events.RequestArrived(self.number, "GET", host, path, key, left))
 
     def end(self):
         if self.out:
@@ -154,19 +154,19 @@
             total = ledger.add(self.now, count, (1, self.registry))
             if total is not None and self.random.random() < 0.9:
                 self.digest.update(encode(total))
-                self.step(t.Counted(total))
+                self.step(events.CountAnswered(total))
 
     def leave(self):
         if self.asked:
-            self.step(t.Gone(self.asked.pop(self.random.randrange(len(self.asked)))))
+            self.step(events.ClientGone(self.asked.pop(self.random.randrange(len(self.asked)))))
 
     def restart_counter(self):
         name = self.random.choice(("n1", "n2", "n3"))
-        self.ledgers[name] = Ledger(name, self.random.getrandbits(20))
+        self.ledgers[name] = CounterTable(name, self.random.getrandbits(20))
 
     def pass_time(self):
         self.now += self.random.choice((0.001, 0.01, 0.01, 0.05, 0.3))
-        self.step(t.Tick())
+        self.step(events.Tick())
 
     def play(self):
         choices = [self.ask] * 30 + [self.end] * 28 + [self.count] * 24 + [self.pass_time] * 24
--- a/tests/cluster/test_listener.py
+++ b/tests/cluster/test_listener.py
@@ -7,10 +7,10 @@
 from testtools.matchers import Equals
 
 from fernyard.cluster.common import settings
-from fernyard.cluster.data_plane.events import Asked
+from fernyard.cluster.data_plane.events import RequestArrived
+from fernyard.cluster.data_plane.limits import limits
 from fernyard.cluster.data_plane.listener import ClientListener
-from fernyard.cluster.data_plane.pacing import PART, SMALL, Pacer
-from fernyard.cluster.data_plane.process import limits
+from fernyard.cluster.data_plane.pacing import LINK_FRACTION, SMALL_ANSWER, Pacer
 from fernyard.lab.runner import free_port
 from fernyard.log import Counts
 
@@ -21,10 +21,10 @@
     def test_all_large_answers_together_get_their_part(self):
         pace, now = Pacer(1000.0), 0.0
         for _ in range(10):  # two at a time, each as fast as it may
-            waits = [pace.take(now, 100), pace.take(now, 100)]
+            waits = [pace.delay_after(now, 100), pace.delay_after(now, 100)]
             now += max(waits)
-        self.assertThat(round(2000 / now), Equals(round(1000 * PART)))
-        self.assertThat(Pacer(0.0).take(0.0, 1 << 30), Equals(0.0))
+        self.assertThat(round(2000 / now), Equals(round(1000 * LINK_FRACTION)))
+        self.assertThat(Pacer(0.0).delay_after(0.0, 1 << 30), Equals(0.0))
 
 
 class TestLargeAnswers(testtools.TestCase):
@@ -37,9 +37,9 @@
             body = bytes(range(256)) * 400
 
             def report(event):
-                if type(event) is Asked:
+                if type(event) is RequestArrived:
                     front.answer(
-                        event.number, 200, body if event.path == "/large" else body[:SMALL], {"Worker-Seal": "x"}
+                        event.number, 200, body if event.path == "/large" else body[:SMALL_ANSWER], {"Worker-Seal": "x"}
                     )
 
             front, port = ClientListener(bounds, report, Counts(), Pacer(12_500_000.0)), free_port()
@@ -50,7 +50,9 @@
             ) as client:
                 for path in "/large", "/small", "/large", "/large":
                     async with client.get(f"http://127.0.0.1:{port}{path}", headers={"Attempt-Id": "a"}) as answer:
-                        got.append((answer.status, await answer.read() == (body if path == "/large" else body[:SMALL])))
+                        got.append(
+                            (answer.status, await answer.read() == (body if path == "/large" else body[:SMALL_ANSWER]))
+                        )
             await front.close(asyncio.get_running_loop().time() + 1)
             return got, front.number
 
--- a/tests/cluster/test_path.py
+++ b/tests/cluster/test_path.py
@@ -12,10 +12,10 @@
 
 from fernyard.clients import connections as client_connections
 from fernyard.cluster.data_plane import (
+    endpoints as endpoints_module,
     listener as listener_module,
     router as router_module,
-    upstreams,
-    workers as workers_module,
+    worker_connections,
 )
 from fernyard.cluster.data_plane.router import PROMISES
 from fernyard.workers import pool
@@ -126,7 +126,7 @@
 
 async def play(seed):
     # No worker is passed by for its failures: else most requests of a run as short as this are refused unsent.
-    with mock.patch.object(workers_module, "BENCH", 0.0):
+    with mock.patch.object(endpoints_module, "EJECTION", 0.0):
         return await play_on(seed)
 
 
@@ -144,9 +144,11 @@
 
 
 GUARDS = {
-    "an answer bears its request's id": lambda: mock.patch.object(upstreams, "_is_of", lambda req, answer: True),
+    "an answer bears its request's id": lambda: mock.patch.object(
+        worker_connections, "_is_answer_to", lambda request, answer: True
+    ),
     "what may have run is not sent again": lambda: mock.patch.object(
-        router_module.RequestRouter, "_repeatable", lambda self, req: True
+        router_module.RequestRouter, "_repeatable", lambda self, request: True
     ),
     "a worker's promise counts with Not-Run alone": lambda: mock.patch.object(router_module, "PROMISES", frozenset()),
     "nothing is sent again by the library": lambda: mock.patch.object(pool, "_once", unguarded),
@@ -252,8 +254,8 @@
         """It ends its connection behind the answer that was waited for, and no worker hears of it."""
 
         async def run(made):
-            report, held = made.plane.upstreams.report, []
-            made.plane.upstreams.report = held.append
+            report, held = made.plane.workers.report, []
+            made.plane.workers.report = held.append
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
             writer.write(made.head("a", "/w/x"))
             while not held:
@@ -262,7 +264,7 @@
             writer.write(made.head("b", "/w/x"))
             while not connection.behind:
                 await asyncio.sleep(0)
-            made.plane.upstreams.report = report
+            made.plane.workers.report = report
             report(held[0])
             got = [(await read_answer(reader))[0] for _ in range(2)]
             writer.close()
@@ -277,7 +279,7 @@
             asked, front = asyncio.Event(), made.plane.listener
             report = front.report
             front.report = lambda event: (report(event), asked.set())
-            with mock.patch.object(made.plane.upstreams, "send", lambda *told: None):
+            with mock.patch.object(made.plane.workers, "send", lambda *told: None):
                 _, writer = await asyncio.open_connection("127.0.0.1", made.port)
                 writer.write(made.head("a", "/w/x"))
                 await asked.wait()
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -7,9 +7,11 @@
 from testtools.matchers import Equals
 
 from fernyard.cluster.common.messages import NO_VERSION, GatewayAddress, Service, Tenant, Worker
-from fernyard.cluster.data_plane.budget import Budget
-from fernyard.cluster.data_plane.quota import Ledger, Quota, shape
-from fernyard.cluster.data_plane.workers import Workers
+from fernyard.cluster.data_plane.counter import CounterTable
+from fernyard.cluster.data_plane.endpoints import EndpointSelector
+from fernyard.cluster.data_plane.quota import QuotaClient
+from fernyard.cluster.data_plane.retry_budget import RetryBudget
+from fernyard.cluster.data_plane.usage import bucket_of
 
 BOUND_WINDOW, EXCESS, SLACK = 5.0, 0.1, 20.0
 
@@ -28,8 +30,8 @@
     """Proxies, one counter, a delay between them; the counter may be silent, or lose what it holds."""
 
     def __init__(self, count, delay, seed=1):
-        self.ledger, self.delay, self.random = Ledger("c", 1), delay, random.Random(seed)
-        self.proxies = [Quota(f"n{number}", number) for number in range(count)]
+        self.ledger, self.delay, self.random = CounterTable("c", 1), delay, random.Random(seed)
+        self.proxies = [QuotaClient(f"n{number}", number) for number in range(count)]
         self.post, self.passed, self.refused = [], [], 0
 
     def play(self, tenant, rate, seconds, silent=(0, 0), lost_at=None, skew=0.0):
@@ -37,12 +39,12 @@
         while now < seconds:
             now += step
             if lost_at is not None and now >= lost_at:
-                self.ledger, lost_at = Ledger("c", 2), None
+                self.ledger, lost_at = CounterTable("c", 2), None
             quiet = silent_from <= now < silent_to
             for _ in range(int(rate * step + self.random.random())):
                 number = 0 if self.random.random() < skew else self.random.randrange(len(self.proxies))
                 proxy = self.proxies[number]
-                count, wait = proxy.ask(now, tenant, "c", NO_VERSION, None)
+                count, wait = proxy.request_add(now, tenant, "c", NO_VERSION, None)
                 if not quiet:
                     self.post.append((now + self.delay, "count", proxy, count))
                 self.post.append((now + wait, "late", proxy, count, wait))
@@ -54,16 +56,16 @@
                     if not quiet:
                         self.post.append((now + self.delay, "total", proxy, total))
                 elif kind == "total":
-                    if proxy.answered(now, message) is not None:
+                    if proxy.match(now, message) is not None:
                         self._decide(now, proxy, tenant, proxy.fits(now, tenant, message), True)
-                elif message.ask in proxy.out:
-                    proxy.late(message.ask, "c")
-                    fits = proxy.fits_unasked(now, tenant, len(self.proxies))
+                elif message.request_id in proxy.pending:
+                    proxy.timed_out(message.request_id, "c")
+                    fits = proxy.fits_locally(now, tenant, len(self.proxies))
                     self._decide(now, proxy, tenant, fits, True)
 
     def _decide(self, now, proxy, tenant, fits, counted):
         if fits:
-            proxy.took(now, tenant, counted)
+            proxy.admitted(now, tenant, counted)
             self.passed.append(now)
         else:
             self.refused += 1
@@ -108,36 +110,36 @@
         """A counter that lost all holds at once what each proxy tells with its first add."""
         fleet, tenant = Fleet(4, 0.01), Tenant("t", None, 100, 100, [])
         fleet.play(tenant, 90, 3.0)
-        fleet.ledger = Ledger("c", 2)
+        fleet.ledger = CounterTable("c", 2)
         for proxy in fleet.proxies:
-            count, _ = proxy.ask(3.0, tenant, "c", NO_VERSION, None)
+            count, _ = proxy.request_add(3.0, tenant, "c", NO_VERSION, None)
             total = fleet.ledger.add(3.0, count, NO_VERSION)
         self.assertTrue(total.previous > 60, total)
 
     def test_units_past_the_limit_are_not_kept(self):
-        ledger, quota = Ledger("c", 1), Quota("n", 1)
+        ledger, quota = CounterTable("c", 1), QuotaClient("n", 1)
         tenant = Tenant("t", None, 4, 4, [])
         totals = []
         for _ in range(40):
-            count, _ = quota.ask(0.0, tenant, "c", NO_VERSION, None)
+            count, _ = quota.request_add(0.0, tenant, "c", NO_VERSION, None)
             totals.append(ledger.add(0.0, count, NO_VERSION).current)
         self.assertThat(max(totals), Equals(totals[-1]))
-        self.assertTrue(totals[-1] <= shape(4, 4)[1] + 1.0)
+        self.assertTrue(totals[-1] <= bucket_of(4, 4).limit + 1.0)
 
 
 class TestBudget(testtools.TestCase):
     def test_sum_of_all_stays_below(self):
         ratio, window, slack, gateways = 0.2, 10.0, 58.0, 9
         chance = random.Random(5)
-        budgets = [Budget(ratio, window, slack) for _ in range(gateways)]
+        budgets = [RetryBudget(ratio, window, slack) for _ in range(gateways)]
         requests, repeats, now = [], [], 0.0
         while now < 40.0:
             now += 0.005
             budget = chance.choice(budgets)
-            budget.request(now)
+            budget.add_request(now)
             requests.append(now)
-            if budget.may(now, gateways):  # every request would go again
-                budget.repeat(now)
+            if budget.allows_retry(now, gateways):  # every request would go again
+                budget.add_retry(now)
                 repeats.append(now)
         for at in repeats:
             used = sum(1 for t in repeats if at - window < t <= at)
@@ -152,7 +154,10 @@
             chance, sent, now = random.Random(3), [], 0.0
             service = Service("s", 30.0, rate, 100)
             route = SimpleNamespace(name="r", target=1.0, kind="idempotent")
-            fleet = [Workers(f"n{number}", "z", "r", {"z": "r"}, random.Random(number)) for number in range(gateways)]
+            fleet = [
+                EndpointSelector(f"n{number}", "z", "r", {"z": "r"}, random.Random(number))
+                for number in range(gateways)
+            ]
             registry = {"w1": Worker("w1", "s", "a:1", "z", 6, False, 1e9)}
             all_gateways = {
                 f"n{number}": GatewayAddress(f"n{number}", "", "z", "r", "", True) for number in range(gateways)
@@ -163,19 +168,19 @@
                 if number % 3 or gateways < 4
             }
             for workers in fleet:
-                workers.registry(0.0, registry, all_gateways)
+                workers.update_registry(0.0, registry, all_gateways)
             changed = False
             while now < 12.0:
                 now += 0.002
                 if not changed and now > 6.0:
                     for workers in fleet[::2]:  # half of them have heard that some are gone
-                        workers.registry(now, registry, some)
+                        workers.update_registry(now, registry, some)
                     changed = True
                 workers = chance.choice(fleet)
                 worker = workers.choose(now, service, route, None, (), 1.0)
                 if worker is not None:
-                    workers.sent(now, worker, service)
-                    worker.out -= 1
+                    workers.attempt_began(now, worker, service)
+                    worker.in_flight -= 1
                     sent.append(now)
             most = most_in(sent, 1.0)
             self.assertTrue(0 < most <= rate * 1.5 + 5, (gateways, most))
@@ -190,13 +195,13 @@
         gateways = {f"n{number}": GatewayAddress(f"n{number}", "", "z", "r", "", True) for number in range(10)}
         got = dict.fromkeys(registry, 0)
         for number in range(10):
-            workers = Workers(f"n{number}", "z", "r", {"z": "r"}, random.Random(number))
-            workers.registry(0.0, registry, gateways)
+            workers = EndpointSelector(f"n{number}", "z", "r", {"z": "r"}, random.Random(number))
+            workers.update_registry(0.0, registry, gateways)
             for name in ("w0", "w1", "w2"):
                 for _ in range(8):
-                    workers.known[name].slow.add(0.0, 0.7)
+                    workers.endpoints[name].slowness.add(0.0, 0.7)
             for _ in range(40):
                 worker = workers.choose(0.0, service, route, None, (), 1.0)
-                got[worker.told.id] += 1
+                got[worker.listed.id] += 1
         self.assertTrue(max(got.values()) <= 3.0 * 400 / 16, got)  # best of all: above 5 times
         self.assertTrue(min(got.values()) >= 5, got)
--- a/tests/cluster/test_router.py
+++ b/tests/cluster/test_router.py
@@ -17,7 +17,7 @@
     Total,
     Worker,
 )
-from fernyard.cluster.data_plane import events as t
+from fernyard.cluster.data_plane import commands, events
 from fernyard.cluster.data_plane.router import RequestRouter
 from fernyard.interface import End
 from fernyard.workers import Outcome
@@ -90,18 +90,27 @@
     def __init__(self, workers=WORKERS, gateways=GATEWAYS, **told):
         self.now, self.number, self.orders = 10.0, 0, []
         self.router = RequestRouter(self.now, settings(), 1)
-        self.tell(t.ConfigurationChanged(ConfigurationUpdate(1, plan(**told), [])))
-        self.tell(t.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), dict(workers), dict(gateways), self.now)))
+        self.tell(events.ConfigurationChanged(ConfigurationUpdate(1, plan(**told), [])))
+        self.tell(events.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), dict(workers), dict(gateways), self.now)))
 
     def tell(self, event):
         orders = self.router.step(self.now, event)
         self.orders += orders
         for order in orders:
-            if type(order) is t.Add and order.ip is None:
+            if type(order) is commands.SendCount and order.ip is None:
                 count = order.count
                 self.tell(
-                    t.Counted(
-                        Total(count.ask, count.incarnation, count.counter, 1, 0.0, self.counted(count), 1.0, NO_VERSION)
+                    events.CountAnswered(
+                        Total(
+                            count.request_id,
+                            count.incarnation,
+                            count.counter,
+                            1,
+                            0.0,
+                            self.counted(count),
+                            1.0,
+                            NO_VERSION,
+                        )
                     )
                 )
         return orders
@@ -111,22 +120,22 @@
 
     def ask(self, path="/r/x", key="k-free", host="h.example", left=3.0):
         self.number += 1
-        self.tell(t.Asked(self.number, "GET", host, path, key, left))
+        self.tell(events.RequestArrived(self.number, "GET", host, path, key, left))
         return self.number
 
     def sends(self, number):
-        return [order for order in self.orders if type(order) is t.Send and order.number == number]
+        return [order for order in self.orders if type(order) is commands.ForwardRequest and order.number == number]
 
     def end(self, number, end, status=0):
         send = self.sends(number)[-1]
-        self.tell(Outcome(number, send.dispatch, send.worker, end, 100, b"x", (), status))
+        self.tell(Outcome(number, send.attempt, send.worker, end, 100, b"x", (), status))
 
     def final(self, number):
         """The status that the client got, or None yet; never two."""
         answers = [
-            order.status if type(order) is t.Answer else order.outcome.status
+            order.status if type(order) is commands.AnswerRequest else order.outcome.status
             for order in self.orders
-            if type(order) in (t.Answer, t.Relay) and order.number == number
+            if type(order) in (commands.AnswerRequest, commands.RelayAnswer) and order.number == number
         ]
         if len(answers) > 1:
             raise AssertionError(f"answered twice: {answers}")
@@ -134,7 +143,7 @@
 
     def later(self, seconds):
         self.now += seconds
-        self.tell(t.Tick())
+        self.tell(events.Tick())
 
 
 # Where a request goes: (path, key, host) -> services it may be sent to, or the status it gets at once.
@@ -217,15 +226,15 @@
             }
             bench = Bench(workers)
             if case == "evacuated":
-                bench.tell(t.ConfigurationChanged(ConfigurationUpdate(2, None, ["z1"])))
+                bench.tell(events.ConfigurationChanged(ConfigurationUpdate(2, None, ["z1"])))
             sent = sum(bool(bench.sends(bench.ask())) for _ in range(20))
             self.assertTrue(sent <= (2 if case == "cold" else 0), (case, sent))
 
     def test_taken_back_zone_is_cold_at_first(self):
         bench = Bench({name: WORKERS[name] for name in ("w1", "w2")})
-        bench.tell(t.ConfigurationChanged(ConfigurationUpdate(2, None, ["z1"])))
+        bench.tell(events.ConfigurationChanged(ConfigurationUpdate(2, None, ["z1"])))
         bench.now += 20.0
-        bench.tell(t.ConfigurationChanged(ConfigurationUpdate(3, None, [])))
+        bench.tell(events.ConfigurationChanged(ConfigurationUpdate(3, None, [])))
         sent = sum(bool(bench.sends(bench.ask())) for _ in range(20))
         self.assertTrue(0 < sent <= 2, sent)
         bench.now += 10.0
@@ -247,20 +256,20 @@
         number = bench.ask()
         bench.later(1.0)
         first, second = bench.sends(number)
-        bench.tell(Outcome(number, first.dispatch, first.worker, End.PASSED, 100, b"x", (), 200))
-        bench.tell(Outcome(number, second.dispatch, second.worker, End.PASSED, 100, b"y", (), 200))
+        bench.tell(Outcome(number, first.attempt, first.worker, End.PASSED, 100, b"x", (), 200))
+        bench.tell(Outcome(number, second.attempt, second.worker, End.PASSED, 100, b"y", (), 200))
         self.assertThat(bench.final(number), Equals(200))
         self.assertThat(bench.router.requests, Equals({}))
 
     def test_never_back_to_an_older_configuration(self):
         bench = Bench()
-        bench.tell(t.ConfigurationChanged(ConfigurationUpdate(9, plan(9, hosts={"h.example": []}), [])))
-        bench.tell(t.ConfigurationChanged(ConfigurationUpdate(7, plan(7), [])))
+        bench.tell(events.ConfigurationChanged(ConfigurationUpdate(9, plan(9, hosts={"h.example": []}), [])))
+        bench.tell(events.ConfigurationChanged(ConfigurationUpdate(7, plan(7), [])))
         self.assertThat(bench.final(bench.ask()), Equals(404))
 
     def test_before_any_configuration_nobody_is_told_404(self):
         router = RequestRouter(0.0, settings(), 1)
-        orders = router.step(0.0, t.Asked(1, "GET", "h.example", "/r/x", None, 3.0))
+        orders = router.step(0.0, events.RequestArrived(1, "GET", "h.example", "/r/x", None, 3.0))
         self.assertThat(orders[0].status, Equals(503))
         self.assertFalse(router.serves)
 
@@ -269,7 +278,7 @@
         bench.counted = lambda count: count.limit + 1.0
         number = bench.ask(key="k-few")
         answer = bench.orders[-1]
-        self.assertThat((bench.final(number), answer.retry > 0), Equals((429, True)))
+        self.assertThat((bench.final(number), answer.retry_after > 0), Equals((429, True)))
 
     def test_what_never_ran_gives_its_unit_back(self):
         """After a restart of all, clients that were told 503 used up their tenants' quotas with requests that never ran."""
--- a/tests/cluster/test_soft_state.py
+++ b/tests/cluster/test_soft_state.py
@@ -14,7 +14,7 @@
 )
 from fernyard.cluster.common.registry import MAX_REMOVALS, Registry
 from fernyard.cluster.control_plane.discovery import HEARTBEAT_TIMEOUT, LONG_TTL, TTL, Discovery
-from fernyard.cluster.data_plane.subscription import Subscriber
+from fernyard.cluster.data_plane.subscription import Subscriber, Versions
 
 MEMBERS = ["a", "b", "c"]
 
@@ -194,21 +194,21 @@
     def test_home_asks_at_once_others_wait_for_it(self):
         home = self.subscriber().home()
         other = "a" if home == "b" else "b"
-        self.assertThat(len(self.subscriber(home).heard(0.0, "core", 5, NO_VERSION)), Equals(1))
+        self.assertThat(len(self.subscriber(home).notified(0.0, "core", Versions(5))), Equals(1))
         waits = self.subscriber(other)
-        self.assertThat(waits.heard(0.0, "core", 5, NO_VERSION), Equals([]))
-        pulls = waits.heard(0.05, f"ip-{home}", 5, NO_VERSION, home=True)
+        self.assertThat(waits.notified(0.0, "core", Versions(5)), Equals([]))
+        pulls = waits.notified(0.05, f"ip-{home}", Versions(5), by_home=True)
         self.assertThat([pull.ip for pull in pulls], Equals([f"ip-{home}"]))
 
     def test_silent_home_is_passed_by(self):
         home = self.subscriber().home()
         waits = self.subscriber("a" if home == "b" else "b")
-        waits.heard(0.0, "core", 5, NO_VERSION)
+        waits.notified(0.0, "core", Versions(5))
         self.assertThat(waits.due(0.1), Equals([]))
         self.assertThat([pull.ip for pull in waits.due(0.3)], Equals(["core"]))
         self.assertThat(waits.due(0.35), Equals([]))  # it is being asked
-        waits.heard(0.4, "core2", 5, NO_VERSION)
-        waits.got(0.6, "core2", 5, NO_VERSION, waits.gateways)
+        waits.notified(0.4, "core2", Versions(5))
+        waits.pull_ended("core2", Versions(5), waits.gateways)
         self.assertThat(waits.due(1.0), Equals([]))
 
     def test_same_few_wherever_asked(self):
--- a/tests/cluster/test_subscription.py
+++ b/tests/cluster/test_subscription.py
@@ -3,8 +3,8 @@
 import testtools
 from testtools.matchers import Equals
 
-from fernyard.cluster.common.messages import NO_VERSION, GatewayAddress
-from fernyard.cluster.data_plane.subscription import OPEN_PULLS, Subscriber
+from fernyard.cluster.common.messages import GatewayAddress
+from fernyard.cluster.data_plane.subscription import MAX_OPEN_PULLS, Subscriber, Versions
 
 STEP, BEAT, PULL = 0.05, 0.4, 0.8
 
@@ -20,7 +20,7 @@
         self.followers, self.cut, self.dead, self.pulls, self.lost = {}, [], [], [], False
         for name in names:
             follower = self.followers[name] = Subscriber(name, "z")
-            follower.got(0.0, "", 1, NO_VERSION, self.gateways, 0.0)
+            follower.pull_ended("", Versions(1), self.gateways, 0.0)
 
     @property
     def home(self):
@@ -43,25 +43,20 @@
             for core, revision in self.cores.items():
                 if self.reaches(name, core):
                     follower.confirmed(self.now, revision)
-                    self.ask(name, follower.heard(self.now, core, revision, NO_VERSION))
+                    self.ask(name, follower.notified(self.now, core, Versions(revision)))
         self.ask(name, follower.due(self.now))
         for pull in [pull for pull in self.pulls if pull[0] == name and pull[2] <= self.now]:
             self.pulls.remove(pull)
             if self.reaches(name, pull[1]):
                 self.held[name] = max(self.held[name], self.cores.get(pull[1]) or self.held[pull[1]])
-                follower.got(
-                    self.now,
-                    pull[1],
-                    self.held[name],
-                    NO_VERSION,
-                    self.gateways,
-                    self.now if pull[1] in self.cores else None,
+                follower.pull_ended(
+                    pull[1], Versions(self.held[name]), self.gateways, self.now if pull[1] in self.cores else None
                 )
                 if follower.home() == name and not self.lost:
-                    for other, _ in follower.neighbours():
+                    for other in follower.neighbour_ips():
                         if self.reaches(name, other):
                             self.ask(
-                                other, self.followers[other].heard(self.now, name, self.held[name], NO_VERSION, True)
+                                other, self.followers[other].notified(self.now, name, Versions(self.held[name]), True)
                             )
 
     def ask(self, name, pulls):
@@ -75,7 +70,7 @@
         for name in self.names:
             for core in cores or self.cores:
                 if name not in self.dead and self.reaches(name, core) and not self.lost:
-                    self.ask(name, self.followers[name].heard(self.now, core, revision, NO_VERSION))
+                    self.ask(name, self.followers[name].notified(self.now, core, Versions(revision)))
 
 
 class TestNews(testtools.TestCase):
@@ -145,17 +140,17 @@
         many pulls were open at once at most."""
         subscriber, pulls, now, most = Subscriber("a", "z"), [], 0.0, 0
         for core in delays:
-            pulls += [(now, pull) for pull in subscriber.heard(now, core, 2, NO_VERSION)]
+            pulls += [(now, pull) for pull in subscriber.notified(now, core, Versions(2))]
         while now < until:
             now = round(now + STEP, 6)
             pulls += [(now, pull) for pull in subscriber.due(now)]
             for began, pull in list(pulls):
                 delay = delays[pull.ip]
-                if delay is not None and delay <= pull.patience and now >= began + delay:
+                if delay is not None and delay <= pull.timeout and now >= began + delay:
                     return now, most
-                if now >= began + pull.patience:
+                if now >= began + pull.timeout:
                     pulls.remove((began, pull))
-                    subscriber.failed(now, pull.ip)
+                    subscriber.pull_failed(now, pull.ip)
             most = max(most, len(pulls))
         return None, most
 
@@ -171,11 +166,11 @@
         ):
             at, most = self.pulled(dict(zip(names, delays)))
             self.assertTrue(at is not None and at <= wanted + 0.01, (delays, at))
-            self.assertTrue(most <= OPEN_PULLS, (delays, most))
+            self.assertTrue(most <= MAX_OPEN_PULLS, (delays, most))
 
     def test_one_that_failed_at_once_is_asked_again_soon(self):
         subscriber = Subscriber("a", "z")
-        self.assertThat(len(subscriber.heard(0.0, "c1", 2, NO_VERSION)), Equals(1))
-        subscriber.failed(0.05, "c1")
+        self.assertThat(len(subscriber.notified(0.0, "c1", Versions(2))), Equals(1))
+        subscriber.pull_failed(0.05, "c1")
         self.assertThat(subscriber.due(0.1), Equals([]))
         self.assertThat([pull.ip for pull in subscriber.due(0.7)], Equals(["c1"]))
