--- a/fernyard/cluster/__main__.py
+++ b/fernyard/cluster/__main__.py
@@ -74,7 +74,8 @@
 
     def __init__(self, settings: "Settings") -> None: ...
 
-    async def run(self) -> None: ...
+    async def run(self) -> None:
+        """Serves until SIGTERM."""
 
 
 def _run(program: type[Program]) -> None:
@@ -90,6 +91,7 @@
 
 
 def main() -> None:
+    """The command line; errors that an operator can meet are logged, and the exit status is 2."""
     set_up()
     try:
         if sys.argv[1:] in (["data-plane"], ["control-plane"]):
--- a/fernyard/cluster/common/lease.py
+++ b/fernyard/cluster/common/lease.py
@@ -31,7 +31,7 @@
 
     def request(self, now: float, node: str, epoch: int) -> bool:
         """Is the vote granted to that node, under that epoch?"""
-        if node != self.granted_to and now < self.granted_until or epoch < self.epoch:
+        if (node != self.granted_to and now < self.granted_until) or epoch < self.epoch:
             return False
         self.granted_to, self.granted_until, self.epoch = node, now + LEASE_DURATION, epoch
         return True
--- a/fernyard/cluster/common/registry.py
+++ b/fernyard/cluster/common/registry.py
@@ -86,7 +86,7 @@
     def follow(self, update: RegistryUpdate, now: float) -> bool:
         """Applies an update that leads further; true if it did. Times are turned into our own clock."""
         version, since = update.version, update.since
-        if version <= self.version or since != NO_VERSION and since != self.version:
+        if version <= self.version or (since != NO_VERSION and since != self.version):
             return False
         clock_offset = now - update.now
         for worker in update.workers.values():
--- a/fernyard/cluster/common/settings.py
+++ b/fernyard/cluster/common/settings.py
@@ -117,7 +117,7 @@
         value = self.values.get(field, default)
         if value is None:
             raise InvalidFieldError(field, "is missing")
-        if not isinstance(value, kind) or isinstance(value, bool) and kind is not bool:
+        if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
             raise InvalidFieldError(field, f"is not as it should be: {value!r}")
         return value
 
--- a/fernyard/cluster/common/transport.py
+++ b/fernyard/cluster/common/transport.py
@@ -36,9 +36,11 @@
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=address)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by asyncio once the socket is open."""
         self.transport = transport  # type: ignore[assignment]  # always a DatagramTransport here
 
     def datagram_received(self, data: bytes, address: Address) -> None:
+        """Called by asyncio with each datagram."""
         try:
             message = self.decode(data)
         except msgspec.MsgspecError:
@@ -55,6 +57,7 @@
             self.transport.sendto(encode(message), address)
 
     def error_received(self, error: Exception) -> None:
+        """Called by asyncio where a datagram could not be sent."""
         self.dropped += 1
 
     def close(self) -> None:
--- a/fernyard/cluster/control_plane/bodies.py
+++ b/fernyard/cluster/control_plane/bodies.py
@@ -53,7 +53,7 @@
 
     def is_stored(self, id: ConfigurationId) -> bool:
         """Are its bytes on disk?"""
-        return id == NO_CONFIGURATION or id in self.bodies and self.bodies[id].stored
+        return id == NO_CONFIGURATION or (id in self.bodies and self.bodies[id].stored)
 
     def store_again(self, id: ConfigurationId) -> None:
         """Its bytes were read from an area that will be erased."""
--- a/fernyard/cluster/control_plane/discovery.py
+++ b/fernyard/cluster/control_plane/discovery.py
@@ -102,8 +102,8 @@
         cold_until = now + remaining + SLOW_START_ALLOWANCE if remaining > 0 else 0.0
         known = self.workers.get(row["id"]) if self.workers else None
         if known is not None and known.cold_until and cold_until:
-            if abs(known.cold_until - cold_until) < 2 * self.list_interval:
-                cold_until = known.cold_until  # the same slow start, listed again: no change of the registry
+            is_same = abs(known.cold_until - cold_until) < 2 * self.list_interval
+            cold_until = known.cold_until if is_same else cold_until  # listed again: no change of the registry
         draining = row["phase"] != "ready"
         return Worker(row["id"], row["svc"], row["addr"], row["zone"], int(row["capacity"]), draining, cold_until)
 
--- a/fernyard/cluster/control_plane/endpoint_poller.py
+++ b/fernyard/cluster/control_plane/endpoint_poller.py
@@ -68,7 +68,7 @@
                     return self.discovery.list_failed(self._loop.time(), status == RATE_LIMITED)
                 columns, rows = page["instances"]["cols"], page["instances"]["rows"]
                 cursor = page.get("nextCursor")
-                entries = [dict(zip(columns, row)) for row in rows]
+                entries = [dict(zip(columns, row, strict=False)) for row in rows]
                 if self.discovery.add_list_page(self._loop.time(), entries, cursor):
                     return self.write_registry()
             except CALL_ERRORS:
--- a/fernyard/cluster/control_plane/gateway_plan.py
+++ b/fernyard/cluster/control_plane/gateway_plan.py
@@ -17,7 +17,7 @@
             return
         id = replica.state.configuration
         body = replica.bodies.content(id)
-        if id == NO_CONFIGURATION or body is None or self.plan is not None and self.plan.id == str(id):
+        if id == NO_CONFIGURATION or body is None or (self.plan is not None and self.plan.id == str(id)):
             return
         # Imported at its first use: the reader is a third of a start, and look-ups are answered before it is needed.
         from . import configuration
--- a/fernyard/cluster/control_plane/membership.py
+++ b/fernyard/cluster/control_plane/membership.py
@@ -76,7 +76,7 @@
     others = [voter for voter in view.state.voters if voter != own]
     for voter in others:
         peer = present.get(voter.ip)
-        if voter.ip == own.ip or peer is not None and peer.member != voter:
+        if voter.ip == own.ip or (peer is not None and peer.member != voter):
             return voter
     for voter in others:
         if voter.ip in present and present[voter.ip].heartbeat.draining:
--- a/fernyard/cluster/control_plane/process.py
+++ b/fernyard/cluster/control_plane/process.py
@@ -143,7 +143,8 @@
         try:
             settings = read_settings()
         except ClusterError as error:
-            return log.warning("The settings were rejected, the previous ones stay in force.", **error.fields())
+            log.warning("The settings were rejected, the previous ones stay in force.", **error.fields())
+            return
         self.replica.add_seeds([ip for ip, _ in settings.seeds])
         log.info("The settings were reloaded.")
 
--- a/fernyard/cluster/control_plane/state.py
+++ b/fernyard/cluster/control_plane/state.py
@@ -144,6 +144,7 @@
     id: ConfigurationId
 
     def apply(self, state: ControlState) -> ControlState:
+        """A higher version replaces the current one; the same version has to be the same bytes."""
         current = state.configuration
         if current == NO_CONFIGURATION:
             return _changed(state, configuration=self.id)
@@ -163,6 +164,7 @@
     evacuated: bool
 
     def apply(self, state: ControlState) -> ControlState:
+        """Nothing changes where the zone is so already."""
         if (self.zone in state.evacuated_zones) == self.evacuated:
             return state
         last = next((evacuation for evacuation in state.evacuations if evacuation.zone == self.zone), None)
@@ -178,6 +180,7 @@
     highest_term: int
 
     def apply(self, state: ControlState) -> ControlState:
+        """The term is above every one that was seen."""
         if state.claim == self.claim:
             return state
         return _changed(state, term=max(state.term, self.highest_term) + 1, claim=self.claim)
@@ -192,9 +195,10 @@
     added: Member
 
     def apply(self, state: ControlState) -> ControlState:
+        """Both groups vote until the replacement is finished."""
         if (state.epoch, state.term) != (self.epoch, self.term) or state.previous:
             raise OutdatedChangeError("the members or the term have changed")
-        if self.added in state.voters or self.removed is not None and self.removed not in state.voters:
+        if self.added in state.voters or (self.removed is not None and self.removed not in state.voters):
             raise OutdatedChangeError("the members are others")
         voters = {voter for voter in state.voters if voter != self.removed} | {self.added}
         return _changed(state, epoch=state.epoch + 1, voters=tuple(sorted(voters)), previous=state.voters)
@@ -209,6 +213,7 @@
     epoch: int
 
     def apply(self, state: ControlState) -> ControlState:
+        """Nothing changes where that replacement is finished already."""
         if state.epoch != self.epoch or not state.previous:
             return state
         return _changed(state, previous=())
@@ -218,6 +223,7 @@
     """Changes nothing; once it is decided, a majority is known to have the current state."""
 
     def apply(self, state: ControlState) -> ControlState:
+        """The state itself."""
         return state
 
 
--- a/fernyard/cluster/control_plane/status.py
+++ b/fernyard/cluster/control_plane/status.py
@@ -5,23 +5,33 @@
 from .replica import Replica
 from .state import ControlState
 
+JSON_NAMES = {
+    "contact_age": "contactAgeS",
+    "draining": "leaving",
+    "last_seen": "heard",
+    "other_draining": "leavingOthers",
+    "polls_list": "listHere",
+    "proposal_number": "ballot",
+    "former_members": "formerMembers",
+}  # that operators' tools read
 
-class Status(msgspec.Struct):
-    """The field names are those of the JSON that operators' tools read. Times are seconds.
 
-    `contactAgeS`: since a majority was in touch; `heard`: since the last heartbeat of each other control plane; `learning`:
-    members that do not vote; `leavingOthers`: members that are shutting down; `listHere`: this one reads the endpoint list.
+class Status(msgspec.Struct, rename=JSON_NAMES):
+    """Times are seconds.
+
+    `contact_age`: since a majority was in touch; `last_seen`: since the last heartbeat of each other control plane; `learning`:
+    members that do not vote; `other_draining`: members that are shutting down; `polls_list`: this one reads the endpoint list.
     """
 
     node: str
     member: str
     votes: bool
-    leaving: bool
-    contactAgeS: float | None
-    heard: dict[str, float]
+    draining: bool
+    contact_age: float | None
+    last_seen: dict[str, float]
     learning: list[str]
-    leavingOthers: list[str]
-    listHere: bool
+    other_draining: list[str]
+    polls_list: bool
     registry: list[int]
     workers: int
     gateways: list[str]
@@ -30,9 +40,9 @@
     revision: int | msgspec.UnsetType = msgspec.UNSET
     epoch: int | msgspec.UnsetType = msgspec.UNSET
     term: int | msgspec.UnsetType = msgspec.UNSET
-    ballot: list[int] | msgspec.UnsetType = msgspec.UNSET
+    proposal_number: list[int] | msgspec.UnsetType = msgspec.UNSET
     members: list[str] | msgspec.UnsetType = msgspec.UNSET
-    formerMembers: list[str] | msgspec.UnsetType = msgspec.UNSET
+    former_members: list[str] | msgspec.UnsetType = msgspec.UNSET
     evacuated: list[str] | msgspec.UnsetType = msgspec.UNSET
 
 
@@ -46,19 +56,19 @@
         node=replica.context.settings.node,
         member=str(replica.member),
         votes=replica.is_voter,
-        leaving=replica.draining,
-        contactAgeS=round(age, 2) if age is not None else None,
-        heard={peer.heartbeat.node: round(now - peer.received_at, 2) for peer in replica.peers.peers.values()},
+        draining=replica.draining,
+        contact_age=round(age, 2) if age is not None else None,
+        last_seen={peer.heartbeat.node: round(now - peer.received_at, 2) for peer in replica.peers.peers.values()},
         learning=[str(peer.member) for peer in fresh if state is not None and peer.member not in state.voters],
-        leavingOthers=[str(peer.member) for peer in fresh if peer.heartbeat.draining],
-        listHere=polls_list,
+        other_draining=[str(peer.member) for peer in fresh if peer.heartbeat.draining],
+        polls_list=polls_list,
         registry=list(registry),
         workers=workers,
         gateways=gateways,
     )
     if replica.decided is not None:
         number = replica.decided.proposal_number
-        status.ballot = [number.round, number.proposer]
+        status.proposal_number = [number.round, number.proposer]
         _add_state(status, replica.decided.state)
     return status
 
@@ -68,5 +78,5 @@
     status.digest = f"{state.configuration.digest:016x}"
     status.revision, status.epoch, status.term = state.revision, state.epoch, state.term
     status.members = [str(voter) for voter in state.voters]
-    status.formerMembers = [str(voter) for voter in state.previous]
+    status.former_members = [str(voter) for voter in state.previous]
     status.evacuated = state.evacuated_zones
--- a/fernyard/cluster/data_plane/process.py
+++ b/fernyard/cluster/data_plane/process.py
@@ -115,7 +115,8 @@
         try:
             settings = read_settings()
         except ClusterError as error:
-            return log.warning("The settings were rejected, the previous ones stay in force.", **error.fields())
+            log.warning("The settings were rejected, the previous ones stay in force.", **error.fields())
+            return
         self.replicas += [ip for ip, _ in settings.seeds if ip not in self.replicas]
         log.info("The settings were reloaded.")
 
@@ -239,7 +240,8 @@
                 update = await self.updates.registry(pull, self.router.registry.version)
                 self.handle_event(RegistryChanged(update))
         except FETCH_ERRORS:
-            return self.subscriber.pull_failed(self.now(), pull.ip)  # asked again, of another
+            self.subscriber.pull_failed(self.now(), pull.ip)  # asked again, of another
+            return
         registry = self.router.registry
         versions = Versions(self.router.revision, registry.version)
         confirmed_at = asked_at if pull.configuration and pull.ip in self.replicas else None
--- a/fernyard/cluster/data_plane/routes.py
+++ b/fernyard/cluster/data_plane/routes.py
@@ -13,7 +13,8 @@
         self.services = {service.name: service for service in plan.services}
         # Longest prefix first; of routes under one prefix the last listed.
         self.hosts = {
-            host: sorted(reversed(routes), key=lambda route: -len(route.prefix)) for host, routes in plan.hosts.items()
+            host: sorted(routes[::-1], key=lambda route: -len(route.prefix))  # noqa: C415  # a stable sort: order counts
+            for host, routes in plan.hosts.items()
         }
 
     def find(self, host: str, path: str) -> Route | None:
--- a/fernyard/cluster/data_plane/worker_connections.py
+++ b/fernyard/cluster/data_plane/worker_connections.py
@@ -68,7 +68,7 @@
                 return End.PASSED
             answer.close()
             return End.RESET
-        if status == WRONG_WORKER or status in NOT_RUN_STATUSES and "Not-Run" in headers:
+        if status == WRONG_WORKER or (status in NOT_RUN_STATUSES and "Not-Run" in headers):
             return End.FULL
         return End.ERROR
 
