--- a/fernyard/decide.py
+++ b/fernyard/decide.py
@@ -10,10 +10,30 @@
 from random import Random
 
 from .estimate import LIMIT_BURSTS, LONGEST_KEEP, SECOND, Mean, Tally, bucket_length, sure_part
-from .interface import (NEVER_RAN, Abort, Add, Arrived, Counted, Deny, Dispatch, End, Ended, Follow, Group,
-                        Launched, Left, News, Phase, Repeat, Roster, Streaming, Wake, Woke)
-
-COUNT, PLACE, OUTCOME = "count", "place", "outcome"   # what the path of a req waits for
+from .interface import (
+    NEVER_RAN,
+    Abort,
+    Add,
+    Arrived,
+    Counted,
+    Deny,
+    Dispatch,
+    End,
+    Ended,
+    Follow,
+    Group,
+    Launched,
+    Left,
+    News,
+    Phase,
+    Repeat,
+    Roster,
+    Streaming,
+    Wake,
+    Woke,
+)
+
+COUNT, PLACE, OUTCOME = "count", "place", "outcome"  # what the path of a req waits for
 # The counter: failures in a row until none is waited for; the least part of the calls that is made, what
 # an answer, a slow one, a failed call make of it; below which parts takes-back wait and ends are not called; the
 # share of the time-out past a call's least time that is slow; how soon the least fades; calls ahead of credit.
@@ -23,17 +43,17 @@
 UNASKED, SPREAD, MOST_OWED = 1.2, 0.7, 5000
 # Workers: places at first, fewest over all, most here; failures in a row that bench one, and for how long.
 FIRST_PLACES, FEWEST_PLACES, MOST_PLACES = 6.0, 2.0, 16.0
-GROW, SHRINK, FEWEST_TELL = 0.25, 0.9, 6.0            # of the places, while all that is out is answered once
+GROW, SHRINK, FEWEST_TELL = 0.25, 0.9, 6.0  # of the places, while all that is out is answered once
 BENCH_AFTER, BENCH, LONGEST_BENCH, PACE_TAU = 3, SECOND // 2, 4 * SECOND, 5 * SECOND
 SLOW_TAU, LONGEST_TAU, WORK_TAU = 3 * SECOND, 60 * SECOND, 5 * SECOND
-FAILED_AS = 4.0                                       # a failure weighs as an answer this many times too slow
-QUICK, SLOW = 0.25, 0.4                               # shares of the response target that move the places
-ELSEWHERE, MET, DRAWN = 1.1, 0.1, 8   # cost of another zone; answers left of one met; workers looked at
-COLD_PART = 0.6                                       # of the push told to be too much, for a cold worker
-GUESS, GUESS_WEIGHT = 0.125, 0.2                      # of the response target, in answers, until some tell
-LAST_START, LOST = 2.0, 4.0                           # usual times: left to begin a req; out and likely lost
-ANSWER_MARGIN = SECOND // 50                          # before the client timeout, for a req still in line
-TIDY, IDLE = 10 * SECOND, 70 * SECOND                 # beyond any bucket kept and any ceiling filled
+FAILED_AS = 4.0  # a failure weighs as an answer this many times too slow
+QUICK, SLOW = 0.25, 0.4  # shares of the response target that move the places
+ELSEWHERE, MET, DRAWN = 1.1, 0.1, 8  # cost of another zone; answers left of one met; workers looked at
+COLD_PART = 0.6  # of the push told to be too much, for a cold worker
+GUESS, GUESS_WEIGHT = 0.125, 0.2  # of the response target, in answers, until some tell
+LAST_START, LOST = 2.0, 4.0  # usual times: left to begin a req; out and likely lost
+ANSWER_MARGIN = SECOND // 50  # before the client timeout, for a req still in line
+TIDY, IDLE = 10 * SECOND, 70 * SECOND  # beyond any bucket kept and any ceiling filled
 
 
 class Customer:
@@ -136,7 +156,7 @@
         own = tally.was_own * tally.overlap(self.now) + tally.own
         # Where doors are many the share is less than one req: the first is let in all the same.
         sure = not tally.by_open and tally.estimate(self.now) > tally.limit
-        return sure or own > max(units, ours + SPREAD * ours ** 0.5)
+        return sure or own > max(units, ours + SPREAD * ours**0.5)
 
     def _return_in(self, tally, units):
         """When the estimate will have room again, if nothing more comes."""
@@ -152,8 +172,11 @@
             return False
         # Ahead go those that, without an answer, each door lets in, or denies. Plans by dispatches out stay
         # behind, they need a second call at the end.
-        ahead = not tally.by_open and (self._ours(tally) < units or tally.estimate(self.now) <= tally.limit and (
-            self._over_unasked(tally, units) or self._ceiling(req.customer) < req.units))
+        ahead = not tally.by_open and (
+            self._ours(tally) < units
+            or tally.estimate(self.now) <= tally.limit
+            and (self._over_unasked(tally, units) or self._ceiling(req.customer) < req.units)
+        )
         if not self._may_call(-AHEAD if ahead else 1.0):
             if tally.by_open:
                 # A +1 told late would only need its -1 told too: this dispatch stays on own counts.
@@ -212,7 +235,7 @@
             self.silent += 1
             # Three lost calls in a crowd are no silence: after one the part is what it was then, not more.
             self.part_then = self.part if self.silent <= BLIND_AFTER else self.part_then
-            self.part *= FAIL_CUT if told.end is not End.RESET else 1.0   # a lost link is no crowd
+            self.part *= FAIL_CUT if told.end is not End.RESET else 1.0  # a lost link is no crowd
             if told.end in NEVER_RAN and units:
                 self._owe(told.name, units)
         self.part = max(LEAST_PART, self.part)
@@ -247,7 +270,7 @@
         if self.now >= self.drawn_until:
             self.chance, self.drawn_until = self.random.random(), self.now + max(1, int(self._usual(req)))
         room = self.fill * len(self.ready)
-        room = int(room + SPREAD * room ** 0.5 + self.chance)
+        room = int(room + SPREAD * room**0.5 + self.chance)
         if self.all_out >= room and self.woken < self.drawn_until:
             self.woken = self.drawn_until
             self._wake(self.drawn_until, self._nothing)
@@ -323,8 +346,9 @@
         self._rank(worker)
         # What is known of a worker fades: one drawn by chance is put where it stands by now.
         self._rank(self.ready[int(len(self.ready) * self.random.random())])
-        self._wake(self.now + int(SLOW * self.set.frontends[req.frontend].target), self._overlong, req,
-                   len(req.sent) - 1)
+        self._wake(
+            self.now + int(SLOW * self.set.frontends[req.frontend].target), self._overlong, req, len(req.sent) - 1
+        )
 
     def _overlong(self, req, dispatch, first=True):
         """A dispatch out for long: the places shrink now, not when it ends; against anything that slows many
@@ -574,6 +598,13 @@
         self._wake(self.now + TIDY, self._tidy)
 
 
-HEAR = {Launched: Gatekeeper._launched, Roster: Gatekeeper._roster, Arrived: Gatekeeper._arrived,
-        Ended: Gatekeeper._ended, Streaming: Gatekeeper._streaming, Left: Gatekeeper._left,
-        Counted: Gatekeeper._counted, Woke: Gatekeeper._woke}
+HEAR = {
+    Launched: Gatekeeper._launched,
+    Roster: Gatekeeper._roster,
+    Arrived: Gatekeeper._arrived,
+    Ended: Gatekeeper._ended,
+    Streaming: Gatekeeper._streaming,
+    Left: Gatekeeper._left,
+    Counted: Gatekeeper._counted,
+    Woke: Gatekeeper._woke,
+}
--- a/fernyard/estimate.py
+++ b/fernyard/estimate.py
@@ -14,7 +14,7 @@
 def sure_part(plan, doors, length, limit, most):
     """Of a ceiling and its slack, the units that told totals, being of all doors, may grant at once and again
     each bucket. Harms by as much again when the counter has lost its counts."""
-    room = plan.ceiling_depth + plan.ceiling_slack - doors * most    # a share of the rest holds a whole req
+    room = plan.ceiling_depth + plan.ceiling_slack - doors * most  # a share of the rest holds a whole req
     return max(0.0, min(limit, room, TOLD_PART * plan.ceiling_rate * length / SECOND))
 
 
