--- a/fernyard/cluster/control_plane/command_executor.py
+++ b/fernyard/cluster/control_plane/command_executor.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable, Coroutine
 from concurrent.futures import ThreadPoolExecutor
-from typing import Any
+from typing import Any, assert_never
 
 from ..common.errors import StoreError
 from ..common.logs import ComponentLogger
@@ -71,7 +71,7 @@
             case PublishState():
                 self.publish()
             case _:
-                raise TypeError(f"unknown command {command!r}")
+                assert_never(command)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         """Runs `work` beside everything else."""
--- a/fernyard/cluster/control_plane/commands.py
+++ b/fernyard/cluster/control_plane/commands.py
@@ -6,31 +6,27 @@
 from .state import ConfigurationId
 
 
-class Command(msgspec.Struct, frozen=True):
-    """Base of all commands."""
-
-
-class StoreArea(Command, frozen=True):
+class StoreArea(msgspec.Struct, frozen=True):
     """Store `content` durably as the area of that name; `events.AreaStored` reports the result."""
 
     area: str
     content: bytes
 
 
-class EraseArea(Command, frozen=True):
+class EraseArea(msgspec.Struct, frozen=True):
     """Remove an area from the disk. Nothing depends on the moment at which it is gone."""
 
     area: str
 
 
-class SendMessage(Command, frozen=True):
+class SendMessage(msgspec.Struct, frozen=True):
     """Send a datagram to the replica at `ip`; it may be lost."""
 
     ip: str
     message: ReplicaMessage
 
 
-class PushBody(Command, frozen=True):
+class PushBody(msgspec.Struct, frozen=True):
     """Send the bytes of a configuration to the replica at `ip`."""
 
     ip: str
@@ -38,14 +34,14 @@
     body: bytes
 
 
-class FetchBody(Command, frozen=True):
+class FetchBody(msgspec.Struct, frozen=True):
     """Ask the replica at `ip` for the bytes of a configuration; `events.BodyReceived` brings them."""
 
     ip: str
     id: ConfigurationId
 
 
-class CompleteCall(Command, frozen=True):
+class CompleteCall(msgspec.Struct, frozen=True):
     """Answer the call of that ticket with an HTTP status.
 
     `conflicting`: with status 409, the configuration that is stored under the version that the caller wanted.
@@ -57,5 +53,8 @@
     conflicting: ConfigurationId | None = None
 
 
-class PublishState(Command, frozen=True):
+class PublishState(msgspec.Struct, frozen=True):
     """A newer state is decided and the bytes of its configuration are at hand: gateways may be notified."""
+
+
+Command = StoreArea | EraseArea | SendMessage | PushBody | FetchBody | CompleteCall | PublishState
--- a/fernyard/cluster/control_plane/endpoint_poller.py
+++ b/fernyard/cluster/control_plane/endpoint_poller.py
@@ -10,6 +10,7 @@
 
 import msgspec
 
+from ..common.errors import SettingsError
 from ..common.logs import ComponentLogger
 from ..common.registry import Registry
 from ..common.transport import Address
@@ -73,13 +74,13 @@
                     return self.write_registry()
             except CALL_ERRORS:
                 return self.discovery.list_failed(self._loop.time(), False)
-            except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as error:
+            except (msgspec.MsgspecError, SettingsError, KeyError, TypeError, ValueError) as error:
                 log.warning("The endpoint list cannot be read.", why=repr(error))
                 return self.discovery.list_failed(self._loop.time(), False)
 
     async def _read_page(self, cursor: str | None) -> tuple[int, Any]:
         """(HTTP status, page or None where the status isn't 200)."""
         if self.platform is None:
-            raise ValueError("the settings name no platform (cloud.addr)")
+            raise SettingsError("no platform is named", "cloud.addr")
         url = f"http://{self.platform[0]}:{self.platform[1]}/workers"
         return await self.client.get_json(url, {"pageToken": cursor} if cursor else None)
--- a/fernyard/cluster/control_plane/events.py
+++ b/fernyard/cluster/control_plane/events.py
@@ -9,11 +9,7 @@
 from .state import ConfigurationId
 
 
-class Event(msgspec.Struct, frozen=True):
-    """Base of all events."""
-
-
-class ConfigurationSubmitted(Event, frozen=True):
+class ConfigurationSubmitted(msgspec.Struct, frozen=True):
     """An operator sent a valid configuration; `body` holds its bytes as they came."""
 
     ticket: int
@@ -21,7 +17,7 @@
     body: bytes
 
 
-class EvacuationSubmitted(Event, frozen=True):
+class EvacuationSubmitted(msgspec.Struct, frozen=True):
     """An operator evacuates a zone (`evacuated` is true) or takes it back."""
 
     ticket: int
@@ -29,49 +25,63 @@
     evacuated: bool
 
 
-class ReadRequested(Event, frozen=True):
+class ReadRequested(msgspec.Struct, frozen=True):
     """An operator asks for the newest configuration."""
 
     ticket: int
 
 
-class CallExpired(Event, frozen=True):
+class CallExpired(msgspec.Struct, frozen=True):
     """The caller waits no longer; it is answered 503, and its change may or may not come into force."""
 
     ticket: int
 
 
-class AreaStored(Event, frozen=True):
+class AreaStored(msgspec.Struct, frozen=True):
     """The disk has stored an area durably, or failed to (`succeeded` is false)."""
 
     area: str
     succeeded: bool
 
 
-class BodyReceived(Event, frozen=True):
+class BodyReceived(msgspec.Struct, frozen=True):
     """Another replica sent the bytes of a configuration."""
 
     id: ConfigurationId
     body: bytes
 
 
-class LeaseChanged(Event, frozen=True):
+class LeaseChanged(msgspec.Struct, frozen=True):
     """Whether this process holds the lease now. `highest_term`: the highest term that any received message bears."""
 
     held: bool
     highest_term: int
 
 
-class ShutdownRequested(Event, frozen=True):
+class ShutdownRequested(msgspec.Struct, frozen=True):
     """The process is about to stop and hands over its vote."""
 
 
-class Tick(Event, frozen=True):
+class Tick(msgspec.Struct, frozen=True):
     """Some time has passed."""
 
 
-class MessageReceived(Event, frozen=True):
+class MessageReceived(msgspec.Struct, frozen=True):
     """A datagram came from the replica at `ip`."""
 
     ip: str
     message: ReplicaMessage
+
+
+Event = (
+    ConfigurationSubmitted
+    | EvacuationSubmitted
+    | ReadRequested
+    | CallExpired
+    | AreaStored
+    | BodyReceived
+    | LeaseChanged
+    | ShutdownRequested
+    | Tick
+    | MessageReceived
+)
--- a/fernyard/cluster/control_plane/replica.py
+++ b/fernyard/cluster/control_plane/replica.py
@@ -246,7 +246,7 @@
                 self.draining = True
                 self._send_heartbeats()
             case _:
-                raise TypeError(f"unknown event {event!r}")
+                assert_never(event)
 
     def _handle_message(self, ip: str, message: ReplicaMessage) -> None:
         match message:
--- a/fernyard/cluster/data_plane/commands.py
+++ b/fernyard/cluster/data_plane/commands.py
@@ -6,11 +6,7 @@
 from ..common.messages import Count
 
 
-class Command(msgspec.Struct, frozen=True):
-    """Base of all commands."""
-
-
-class ForwardRequest(Command, frozen=True):
+class ForwardRequest(msgspec.Struct, frozen=True):
     """Forward a request to a worker. `attempt` numbers its attempts; `tenant`: a name for the worker, or None; `timeout`:
     until the attempt is given up."""
 
@@ -22,7 +18,7 @@
     timeout: float
 
 
-class AnswerRequest(Command, frozen=True):
+class AnswerRequest(msgspec.Struct, frozen=True):
     """Answer a request ourselves. `retry_after`: 0 for none."""
 
     number: int
@@ -30,15 +26,18 @@
     retry_after: float = 0.0
 
 
-class RelayAnswer(Command, frozen=True):
+class RelayAnswer(msgspec.Struct, frozen=True):
     """Answer a request with what its worker answered."""
 
     number: int
     outcome: Outcome
 
 
-class SendCount(Command, frozen=True):
+class SendCount(msgspec.Struct, frozen=True):
     """Send an add to the counter gateway at `ip`; None is this process."""
 
     ip: str | None
     count: Count
+
+
+Command = ForwardRequest | AnswerRequest | RelayAnswer | SendCount
--- a/fernyard/cluster/data_plane/events.py
+++ b/fernyard/cluster/data_plane/events.py
@@ -9,11 +9,7 @@
 from ..common.messages import ConfigurationUpdate, RegistryUpdate, Total
 
 
-class Event(msgspec.Struct, frozen=True):
-    """Base of all events."""
-
-
-class RequestArrived(Event, frozen=True):
+class RequestArrived(msgspec.Struct, frozen=True):
     """A client's request was read completely. `patience`: seconds that the client will wait; `key`: its API key."""
 
     number: int
@@ -24,32 +20,33 @@
     patience: float
 
 
-class ClientGone(Event, frozen=True):
+class ClientGone(msgspec.Struct, frozen=True):
     """The client of a request closed its connection."""
 
     number: int
 
 
-class Tick(Event, frozen=True):
+class Tick(msgspec.Struct, frozen=True):
     """A timer may be due."""
 
 
-class CountAnswered(Event, frozen=True):
+class CountAnswered(msgspec.Struct, frozen=True):
     """A counter gateway answered an add."""
 
     total: Total
 
 
-class ConfigurationChanged(Event, frozen=True):
+class ConfigurationChanged(msgspec.Struct, frozen=True):
     """What is in force changed."""
 
     update: ConfigurationUpdate
 
 
-class RegistryChanged(Event, frozen=True):
+class RegistryChanged(msgspec.Struct, frozen=True):
     """Workers or gateways changed."""
 
     update: RegistryUpdate
 
 
-RouterEvent = Event | Outcome
+ClientEvent = RequestArrived | ClientGone
+RouterEvent = ClientEvent | Tick | CountAnswered | ConfigurationChanged | RegistryChanged | Outcome
--- a/fernyard/cluster/data_plane/listener.py
+++ b/fernyard/cluster/data_plane/listener.py
@@ -18,7 +18,7 @@
 from ..common.logs import ComponentLogger
 from ..common.messages import Plan
 from ..common.transport import Address
-from .events import ClientGone, Event, RequestArrived
+from .events import ClientEvent, ClientGone, RequestArrived
 from .pacing import CHUNK, SMALL_ANSWER, Pacer
 
 log = ComponentLogger("front")
@@ -55,7 +55,7 @@
 
     connections: Any  # `fernyard.clients.connections.Connections`, which is not annotated yet
 
-    def __init__(self, limits: Limits, report: Callable[[Event], None], counts: Counts, pacer: Pacer) -> None:
+    def __init__(self, limits: Limits, report: Callable[[ClientEvent], None], counts: Counts, pacer: Pacer) -> None:
         """`report` takes `RequestArrived` and `ClientGone`; `pacer`: of large answers on their way out."""
         super().__init__(limits, report, counts)
         self.pacer = pacer
--- a/fernyard/cluster/data_plane/process.py
+++ b/fernyard/cluster/data_plane/process.py
@@ -7,7 +7,7 @@
 import os
 import signal
 from collections.abc import Coroutine
-from typing import Any
+from typing import Any, assert_never
 
 from aiohttp.web_request import BaseRequest
 
@@ -152,7 +152,7 @@
             case SendCount():
                 self._send_count(command)
             case _:
-                raise TypeError(f"unknown command {command!r}")
+                assert_never(command)
 
     def _forward(self, command: ForwardRequest) -> None:
         request = self.listener.requests.get(command.number)
--- a/fernyard/cluster/data_plane/router.py
+++ b/fernyard/cluster/data_plane/router.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Generator
 from random import Random
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, assert_never
 
 from ...interface import NEVER_RAN, End
 from ...workers import Outcome
@@ -91,7 +91,7 @@
             case RegistryChanged():
                 self._on_registry_changed(event.update)
             case _:
-                raise TypeError(f"unknown event {event!r}")
+                assert_never(event)
         return self._commands
 
     def next_at(self) -> float | None:
