--- a/fernyard/cluster/__main__.py
+++ b/fernyard/cluster/__main__.py
@@ -66,7 +66,7 @@
     """Measure what one more route, tenant, worker or gateway costs each part (docs/CAPACITY.md)."""
     from .slopes import main as measure
 
-    measure()  # type: ignore[no-untyped-call]
+    measure()
 
 
 class Program(Protocol):
