--- a/tests/cluster/control_planes.py
+++ b/tests/cluster/control_planes.py
@@ -1,9 +1,12 @@
-"""Several control planes in one process, with their disks, their leases and the links between them, under faults, on a clock
-of its own. Nothing sleeps. What operators were told is kept, and `History` checks it."""
+"""Several control planes in one process, with their disks, their leases and the links between them, under faults, on a clock of
+its own. Nothing sleeps. What operators were answered is kept, and `history.History` checks it. Times are seconds."""
 
 import heapq
 import random
+from collections.abc import Callable, Iterable
+from enum import Enum
 from functools import partial
+from typing import Any
 
 import attrs
 
@@ -12,175 +15,246 @@
 from fernyard.cluster.control_plane.learner import SERVED_WITHIN
 from fernyard.cluster.control_plane.lease_manager import LeaseManager
 from fernyard.cluster.control_plane.messages import StoredBody, decode, encode
-from fernyard.cluster.control_plane.operator_calls import CALL_TIMEOUT, FORWARDED_WITHIN
-from fernyard.cluster.control_plane.proposer import ROUND_TIMEOUT
 from fernyard.cluster.control_plane.recovery import recover
 from fernyard.cluster.control_plane.replica import Replica
 from fernyard.cluster.control_plane.replica_context import ReplicaSettings
-from fernyard.cluster.control_plane.state import ConfigurationId
+from fernyard.cluster.control_plane.state import ConfigurationId, ControlState
 
 TICK = 0.2
-ANSWER_WITHIN = 0.85
-DISK = 0.003
-LINK = 0.002
-OBSERVED = 0.1  # seconds between the asks of gateways
-HAND_OVER = 4.0  # seconds that a machine which leaves waits at most
-IN_DOUBT = (
-    FORWARDED_WITHIN + CALL_TIMEOUT + ROUND_TIMEOUT
-)  # seconds within which an order without a clear answer takes effect, or never
+CALL_EXPIRES_AFTER = 0.85
+DISK_DELAY = 0.003
+LINK_DELAY = 0.002
+OBSERVATION_INTERVAL = 0.1  # between two reads of gateways
+MAX_HANDOVER = 4.0  # that a machine which shuts down waits at most
+
+
+@attrs.frozen
+class Put:
+    """An operator sends a configuration."""
+
+    id: ConfigurationId
+
+
+@attrs.frozen
+class Evacuate:
+    """An operator evacuates a zone, or takes it back."""
+
+    zone: str
+    evacuated: bool
+
+
+@attrs.frozen
+class Get:
+    """An operator reads the configuration in force."""
 
 
 @attrs.define
 class Answer:
-    """What an operator was told: `status` None while nothing was."""
+    """What an operator was answered: `status` is None while nothing was."""
 
-    what: object
+    call: Put | Evacuate | Get
     node: str
-    at: float
+    called_at: float
     status: int | None = None
     body: bytes = b""
     conflicting: ConfigurationId | None = None
-    ended: float = 0.0
+    answered_at: float = 0.0
 
 
-@attrs.define
+class Disk(Enum):
+    """How a disk works: as it should, not at all until it recovers, or refusing every write."""
+
+    WORKING = "working"
+    STALLED = "stalled"
+    FULL = "full"
+
+
+@attrs.frozen
+class Deferred:
+    """A call of the simulation that waits for a machine or a disk."""
+
+    call: Callable[..., None]
+    arguments: tuple[Any, ...]
+
+    def run(self) -> None:
+        """Makes the call."""
+        self.call(*self.arguments)
+
+
+@attrs.define(eq=False)
 class Machine:
-    """A machine with its disk: `areas` is what would survive a loss of power, as every save is synced; of `writing` a first
-    part may survive as well, and what is in `erased` may come back, as a folder isn't synced after it."""
+    """A machine with its disk.
+
+    `areas` is what would survive a loss of power, as every save is synced; of `writing` a first part may survive as well, and
+    what is in `erased` may come back, as a folder isn't synced after it. `suspended`: what waits while the process is suspended;
+    None: it runs. `published`: when which state was published.
+    """
 
     name: str
     ip: str
-    areas: dict = attrs.Factory(dict)
-    replica: Replica | None = None
-    lease: LeaseManager | None = None
+    areas: dict[str, bytes] = attrs.Factory(dict)
+    replica: Any = None  # Replica | None, which tests look into
+    lease: Any = None  # LeaseManager | None
     incarnation: int = 0
-    frozen: list | None = None
-    disk: str = "well"
-    stalled: list = attrs.Factory(list)
-    writing: list = attrs.Factory(list)
-    erased: dict = attrs.Factory(dict)
-    published: list = attrs.Factory(list)
+    suspended: list[Deferred] | None = None
+    disk: Disk = Disk.WORKING
+    stalled: list[Deferred] = attrs.Factory(list)
+    writing: list[commands.StoreArea] = attrs.Factory(list)
+    erased: dict[str, bytes] = attrs.Factory(dict)
+    published: list[tuple[float, ControlState]] = attrs.Factory(list)
 
+    def is_running(self) -> bool:
+        """Is its process up and not suspended?"""
+        return self.replica is not None and self.suspended is None
 
-class ControlPlanes:
-    """`names`: of the machines of the first start; the first three are everybody's seeds. `delay`: of a link, seconds."""
 
-    def __init__(self, names="abc", seed=1, faults=None, delay=LINK, replica=Replica, loss=0.0, doubled=0.0):
-        self.now, self.random, self.kind = 0.0, random.Random(seed), replica
+class ControlPlanes:
+    """Machines by name; see the module."""
+
+    def __init__(
+        self,
+        names: str = "abc",
+        seed: int = 1,
+        faults: int | None = None,
+        delay: float = LINK_DELAY,
+        replica: type[Replica] = Replica,
+        loss: float = 0.0,
+        doubled: float = 0.0,
+    ) -> None:
+        """`names`: of the machines of the first start, one letter each; the first three are everybody's seeds. `delay` of a
+        link; `loss` and `doubled`: fractions of messages."""
+        self.now, self.random, self.replica_class = 0.0, random.Random(seed), replica
         self.delay, self.loss, self.doubled = delay, loss, doubled
         self.faults = faults if faults is not None else (len(names) - 1) // 2
-        self.machines, self.cut, self.queue, self.number = {}, set(), [], 0
-        self.answers, self.tickets, self.bytes_sent, self.served_wrong = [], {}, 0, []
+        self.machines: dict[str, Machine] = {}
+        self.partitioned: set[str] = set()  # "ab": what a sends to b is lost
+        self.answers: list[Answer] = []
+        self.stale_reads: list[str] = []  # what gateways were served though it was overtaken
+        self.bytes_sent = 0  # between replicas
+        self._tickets: dict[int, Answer] = {}
+        self._queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._number = 0
         for name in names:
             self.add(name)
         self.seeds = tuple(self.machines[name].ip for name in names[:3])
         for name in names:
             self.start(name, bootstrap=True)
-        self.at(0.0, self.observe)
+        self._at(0.0, self._observe)
 
     # Machines and faults ---------------------------------------------------------------------------------------------
 
-    def add(self, name):
+    def add(self, name: str) -> None:
         """A machine at an address of its own, with an empty disk; not started."""
         self.machines[name] = Machine(name, f"10.0.0.{len(self.machines) + 1}")
 
-    def start(self, name, bootstrap=False):
+    def start(self, name: str, bootstrap: bool = False) -> None:
+        """Starts the process of a machine; `bootstrap`: the whole system starts for the first time."""
         machine = self.machines[name]
-        machine.incarnation, machine.frozen, machine.stalled, machine.writing = (
-            self.incarnation_of(machine),
-            None,
-            [],
-            [],
-        )
+        machine.incarnation = self.incarnation_of(machine)
+        machine.suspended, machine.stalled, machine.writing = None, [], []
         settings = ReplicaSettings(name, machine.ip, True, self.seeds, self.faults)
         disk = self.random.getrandbits(48)
         recovered = recover(dict(machine.areas), settings, bootstrap and not machine.areas, disk)
-        machine.replica = self.kind(self.now, settings, machine.incarnation, recovered.vote, recovered.bodies)
-        machine.lease = LeaseManager(self.now, machine.replica, bootstrap, partial(self.send_from, machine))
-        # Processes beat out of step.
-        self.at(self.now + TICK * self.random.random(), self.tick, machine, machine.incarnation)
+        machine.replica = self.replica_class(self.now, settings, machine.incarnation, recovered.vote, recovered.bodies)
+        machine.lease = LeaseManager(self.now, machine.replica, bootstrap, partial(self._send_from, machine))
+        # Processes tick out of step.
+        self._at(self.now + TICK * self.random.random(), self._tick, machine, machine.incarnation)
 
-    def incarnation_of(self, machine):
+    def incarnation_of(self, machine: Machine) -> int:
         """A number that no other run of any process has."""
         return self.random.getrandbits(48)
 
-    def kill(self, *names):
+    def kill(self, *names: str) -> None:
+        """The processes end; their disks stay as they are."""
         for name in names:
             self.machines[name].replica = None
 
-    def wipe(self, name):
+    def wipe(self, name: str) -> None:
+        """The process ends and the disk is lost."""
         self.kill(name)
         self.machines[name].areas, self.machines[name].erased = {}, {}
 
-    def lose_power(self, name):
+    def lose_power(self, name: str) -> None:
         """What was on its way to the disk may have got there, and what was erased may be back."""
         machine = self.machines[name]
-        if machine.replica is not None and machine.disk != "full":
-            for command in machine.writing[: self.random.randrange(len(machine.writing) + 1)]:
-                machine.areas[command.area] = command.content
+        if machine.replica is not None and machine.disk is not Disk.FULL:
+            for store in machine.writing[: self.random.randrange(len(machine.writing) + 1)]:
+                machine.areas[store.area] = store.content
             for area, content in machine.erased.items():
                 if self.random.random() < 0.5:
                     machine.areas.setdefault(area, content)
         machine.erased = {}
         self.kill(name)
 
-    def leave(self, name):
+    def shut_down(self, name: str) -> None:
         """The machine is told to stop, hands over and is gone."""
         machine = self.machines[name]
-        self.tell(machine, events.ShutdownRequested())
-        self.run_until(lambda: machine.replica.may_stop(), HAND_OVER)
+        self.handle(machine, events.ShutdownRequested())
+        self.run_until(lambda: machine.replica.may_stop(), MAX_HANDOVER)
         self.kill(name)
 
-    def freeze(self, name):
-        self.machines[name].frozen = []
-
-    def deafen(self, name):
-        """It is heard and hears nothing."""
-        self.part(*(other + name for other in self.machines if other != name))
-
-    def mute(self, name):
-        """It hears and is not heard."""
-        self.part(*(name + other for other in self.machines if other != name))
-
-    def thaw(self, name, between=None):
-        """What came meanwhile is worked off at once, and gateways ask before, between and after. `between` is called then."""
-        machine, waiting = self.machines[name], self.machines[name].frozen or []
-        machine.frozen = None
-        self.ask_served(machine)
-        for call, arguments in waiting:
-            call(*arguments)
-            self.ask_served(machine)
+    def suspend(self, name: str) -> None:
+        """The process does nothing until it is resumed; what comes for it waits."""
+        self.machines[name].suspended = []
+
+    def resume(self, name: str, between: Callable[[], object] | None = None) -> None:
+        """What came meanwhile is handled at once, and gateways read before, between and after. `between` is called then."""
+        machine, waiting = self.machines[name], self.machines[name].suspended or []
+        machine.suspended = None
+        self._read_served(machine)
+        for deferred in waiting:
+            deferred.run()
+            self._read_served(machine)
             if between is not None:
                 between()
 
-    def part(self, *pairs):
-        """`ab` cuts what a sends to b."""
-        self.cut.update(pairs)
+    def deafen(self, name: str) -> None:
+        """It sends and receives nothing."""
+        self.partition(*(other + name for other in self.machines if other != name))
+
+    def mute(self, name: str) -> None:
+        """It receives, and what it sends is lost."""
+        self.partition(*(name + other for other in self.machines if other != name))
+
+    def partition(self, *pairs: str) -> None:
+        """`ab`: what a sends to b is lost."""
+        self.partitioned.update(pairs)
 
-    def isolate(self, *names):
-        """Cuts these off from all others, both ways."""
+    def isolate(self, *names: str) -> None:
+        """Partitions these from all others, both ways."""
         for name in names:
             for other in self.machines:
                 if other not in names:
-                    self.cut.update((name + other, other + name))
+                    self.partition(name + other, other + name)
 
-    def join(self):
-        self.cut.clear()
+    def heal(self) -> None:
+        """Ends all partitions."""
+        self.partitioned.clear()
+
+    def set_disk(self, name: str, disk: Disk) -> None:
+        """How the disk of that machine works from now on."""
+        machine = self.machines[name]
+        machine.disk = disk
+        if disk is not Disk.STALLED:
+            waiting, machine.stalled = machine.stalled, []
+            for deferred in waiting:
+                deferred.run()
 
     # The clock -------------------------------------------------------------------------------------------------------
 
-    def at(self, moment, call, *arguments):
-        self.number += 1
-        heapq.heappush(self.queue, (moment, self.number, call, arguments))
+    def _at(self, moment: float, call: Callable[..., None], *arguments: Any) -> None:
+        self._number += 1
+        heapq.heappush(self._queue, (moment, self._number, call, arguments))
 
-    def run(self, seconds):
+    def run(self, seconds: float) -> None:
+        """Lets that time pass."""
         end = self.now + seconds
-        while self.queue and self.queue[0][0] <= end:
-            self.now, _, call, arguments = heapq.heappop(self.queue)
+        while self._queue and self._queue[0][0] <= end:
+            self.now, _, call, arguments = heapq.heappop(self._queue)
             call(*arguments)
         self.now = end
 
-    def run_until(self, condition, seconds):
+    def run_until(self, condition: Callable[[], bool], seconds: float) -> float | None:
         """Runs until the condition holds, `seconds` at most; the seconds it took, or None."""
         began = self.now
         while self.now - began < seconds:
@@ -189,293 +263,207 @@
             self.run(0.02)
         return None
 
-    def tick(self, machine, incarnation):
+    def _tick(self, machine: Machine, incarnation: int) -> None:
         if machine.replica is None or machine.incarnation != incarnation:
             return
-        if machine.frozen is not None:
-            machine.frozen.append((self.tick, (machine, incarnation)))
+        if machine.suspended is not None:
+            machine.suspended.append(Deferred(self._tick, (machine, incarnation)))
             return
-        self.tell(machine, events.Tick())
-        self.renew_lease(machine)
-        self.at(self.now + TICK, self.tick, machine, incarnation)
-
-    def renew_lease(self, machine):
-        lease = machine.lease
-        lease.renew(self.now, lease.voter.epoch)
-        self.tell(machine, events.LeaseChanged(lease.holds(self.now), 0))
+        self.handle(machine, events.Tick())
+        machine.lease.renew(self.now, machine.lease.voter.epoch)
+        self.handle(machine, events.LeaseChanged(machine.lease.holds(self.now), 0))
+        self._at(self.now + TICK, self._tick, machine, incarnation)
 
     # Gateways --------------------------------------------------------------------------------------------------------
 
-    def observe(self):
+    def _observe(self) -> None:
         for machine in self.running():
-            self.ask_served(machine)
-        self.at(self.now + OBSERVED, self.observe)
+            self._read_served(machine)
+        self._at(self.now + OBSERVATION_INTERVAL, self._observe)
 
-    def ask_served(self, machine):
-        """What a gateway is handed out lacks nothing that was confirmed before a majority had to be met."""
+    def _read_served(self, machine: Machine) -> None:
+        """What a gateway is served lacks nothing that was acknowledged before a majority had to be in touch."""
         state = machine.replica.served_state(self.now) if machine.replica is not None else None
         if state is None:
             return
-        confirmed = max(
-            (a.what[1].version for a in self.answers if a.what[0] == "put" and self._confirmed_before(a)), default=0
-        )
-        if state.configuration.version < confirmed:
-            self.served_wrong.append(
-                f"{machine.name} serves {state.configuration.version} at {self.now:.2f}: {confirmed}"
-            )
-
-    def _confirmed_before(self, answer):
-        return answer.status == 200 and answer.ended < self.now - SERVED_WITHIN
-
-    # Messages and disks ----------------------------------------------------------------------------------------------
-
-    def tell(self, machine, event):
+        acknowledged = [
+            answer.call.id.version
+            for answer in self.answers
+            if isinstance(answer.call, Put) and answer.status == 200 and answer.answered_at < self.now - SERVED_WITHIN
+        ]
+        newest, version = max(acknowledged, default=0), state.configuration.version
+        if version < newest:
+            self.stale_reads.append(f"{machine.name} serves {version} at {self.now:.2f}: {newest}")
+
+    # Events, messages and disks --------------------------------------------------------------------------------------
+
+    def handle(self, machine: Machine, event: events.Event) -> None:
+        """One step of the machine's replica, now or once its process is resumed."""
         if machine.replica is None:
             return
-        if machine.frozen is not None:
-            machine.frozen.append((self.tell, (machine, event)))
+        if machine.suspended is not None:
+            machine.suspended.append(Deferred(self.handle, (machine, event)))
             return
         for command in machine.replica.step(self.now, event):
-            self.execute(machine, command)
-
-    def execute(self, machine, command):
-        kind = type(command)
-        if kind is commands.StoreArea:
-            machine.writing.append(command)
-            self.at(self.now + DISK, self.save, machine, machine.incarnation, command)
-        elif kind is commands.EraseArea:
-            if command.area in machine.areas:
-                machine.erased[command.area] = machine.areas.pop(command.area)
-        elif kind is commands.SendMessage:
-            self.send(machine, command.ip, decode(encode(command.message)))
-        elif kind is commands.PushBody:
-            self.send(machine, command.ip, StoredBody(command.id, command.body))
-        elif kind is commands.FetchBody:
-            self.fetch(machine, command)
-        elif kind is commands.CompleteCall:
-            self.reply(command)
-        elif kind is commands.PublishState:
-            machine.published.append((self.now, machine.replica.state))
-
-    def save(self, machine, incarnation, command):
+            self._execute(machine, command)
+
+    def _execute(self, machine: Machine, command: commands.Command) -> None:
+        match command:
+            case commands.StoreArea():
+                machine.writing.append(command)
+                self._at(self.now + DISK_DELAY, self._store, machine, machine.incarnation, command)
+            case commands.EraseArea():
+                if command.area in machine.areas:
+                    machine.erased[command.area] = machine.areas.pop(command.area)
+            case commands.SendMessage():
+                self._send(machine, command.ip, decode(encode(command.message)))
+            case commands.PushBody():
+                self._send(machine, command.ip, StoredBody(command.id, command.body))
+            case commands.FetchBody():
+                self._fetch(machine, command)
+            case commands.CompleteCall():
+                self._complete(command)
+            case commands.PublishState():
+                machine.published.append((self.now, machine.replica.state))
+
+    def _store(self, machine: Machine, incarnation: int, command: commands.StoreArea) -> None:
         if machine.replica is None or machine.incarnation != incarnation:
             return
-        if machine.disk == "stalled":
-            machine.stalled.append((self.save, (machine, incarnation, command)))
+        if machine.disk is Disk.STALLED:
+            machine.stalled.append(Deferred(self._store, (machine, incarnation, command)))
             return
         machine.writing = [other for other in machine.writing if other is not command]
-        succeeded = machine.disk == "well"
+        succeeded = machine.disk is Disk.WORKING
         if succeeded:
             machine.areas[command.area] = command.content
             machine.erased.pop(command.area, None)
-        self.tell(machine, events.AreaStored(command.area, succeeded))
-
-    def disk(self, name, how):
-        """`how`: well, stalled or full."""
-        machine = self.machines[name]
-        machine.disk = how
-        if how != "stalled":
-            waiting, machine.stalled = machine.stalled, []
-            for call, arguments in waiting:
-                call(*arguments)
+        self.handle(machine, events.AreaStored(command.area, succeeded))
 
-    def by_ip(self, ip):
+    def by_ip(self, ip: str) -> Machine | None:
+        """The machine at that address."""
         return next((machine for machine in self.machines.values() if machine.ip == ip), None)
 
-    def send(self, machine, ip, message):
+    def _send_from(self, machine: Machine, message: Message, ip: str) -> None:
+        self._send(machine, ip, message)
+
+    def _send(self, machine: Machine, ip: str, message: Message | StoredBody) -> None:
         other = self.by_ip(ip)
         if other is None or other is machine:
             return
-        if isinstance(message, Message | StoredBody) and not isinstance(message, LeaseRequest | LeaseReply):
+        if not isinstance(message, LeaseRequest | LeaseReply):
             self.bytes_sent += len(encode(message))
         copies = 0 if self.random.random() < self.loss else 2 if self.random.random() < self.doubled else 1
         for _ in range(copies):
             delay = self.delay * (0.7 + 0.6 * self.random.random())
-            self.at(self.now + delay, self.arrive, machine, other, message)
-
-    def send_from(self, machine, message, ip):
-        self.send(machine, ip, message)
+            self._at(self.now + delay, self._arrive, machine, other, message)
 
-    def arrive(self, machine, other, message):
-        if machine.name + other.name in self.cut or other.replica is None:
+    def _arrive(self, machine: Machine, other: Machine, message: Any) -> None:
+        if machine.name + other.name in self.partitioned or other.replica is None:
             return
-        if other.frozen is not None:
-            other.frozen.append((self.arrive, (machine, other, message)))
+        if other.suspended is not None:
+            other.suspended.append(Deferred(self._arrive, (machine, other, message)))
             return
-        if isinstance(message, StoredBody):
-            self.tell(other, events.BodyReceived(message.id, message.body))
-        elif isinstance(message, LeaseRequest):
-            self.send(other, machine.ip, other.lease.on_request(self.now, message))
-        elif isinstance(message, LeaseReply):
-            other.lease.on_reply(self.now, message)
-        else:
-            self.tell(other, events.MessageReceived(machine.ip, message))
-
-    def fetch(self, machine, command):
+        match message:
+            case StoredBody():
+                self.handle(other, events.BodyReceived(message.id, message.body))
+            case LeaseRequest():
+                self._send(other, machine.ip, other.lease.on_request(self.now, message))
+            case LeaseReply():
+                other.lease.on_reply(self.now, message)
+            case _:
+                self.handle(other, events.MessageReceived(machine.ip, message))
+
+    def _fetch(self, machine: Machine, command: commands.FetchBody) -> None:
         other = self.by_ip(command.ip)
-        if other is None or other.replica is None or other.frozen is not None:
+        if other is None or not other.is_running():
             return
-        if {machine.name + other.name, other.name + machine.name} & self.cut:
+        if {machine.name + other.name, other.name + machine.name} & self.partitioned:
             return
         content = other.replica.bodies.content(command.id)
         if content:
-            self.at(self.now + 2 * self.delay, self.tell, machine, events.BodyReceived(command.id, content))
+            event = events.BodyReceived(command.id, content)
+            self._at(self.now + 2 * self.delay, self.handle, machine, event)
 
     # Operators -------------------------------------------------------------------------------------------------------
 
-    def call(self, name, what, make):
-        """One call at one machine; the Answer is filled in when it comes. `make(ticket)` gives the event."""
-        machine, answer = self.machines[name], Answer(what, name, self.now)
+    def _call(self, name: str, call: Put | Evacuate | Get, make_event: Callable[[int], events.Event]) -> Answer:
+        """One call at one machine; the answer is filled in when it comes. `make_event(ticket)` gives the event."""
+        machine, answer = self.machines[name], Answer(call, name, self.now)
         self.answers.append(answer)
-        self.number += 1
-        ticket = self.number
-        self.tickets[ticket] = answer
-        self.tell(machine, make(ticket))
-        self.at(self.now + ANSWER_WITHIN, self.expire, machine, machine.incarnation, ticket)
+        self._number += 1
+        ticket = self._number
+        self._tickets[ticket] = answer
+        self.handle(machine, make_event(ticket))
+        self._at(self.now + CALL_EXPIRES_AFTER, self._expire, machine, machine.incarnation, ticket)
         return answer
 
-    def expire(self, machine, incarnation, ticket):
-        if self.tickets.get(ticket) is not None and machine.replica is not None and machine.incarnation == incarnation:
-            self.tell(machine, events.CallExpired(ticket))
+    def _expire(self, machine: Machine, incarnation: int, ticket: int) -> None:
+        is_same = machine.replica is not None and machine.incarnation == incarnation
+        if self._tickets.get(ticket) is not None and is_same:
+            self.handle(machine, events.CallExpired(ticket))
 
-    def reply(self, command):
-        answer = self.tickets.pop(command.ticket, None)
+    def _complete(self, command: commands.CompleteCall) -> None:
+        answer = self._tickets.pop(command.ticket, None)
         if answer is not None:
-            answer.status, answer.body, answer.ended = command.status, command.body, self.now
+            answer.status, answer.body, answer.answered_at = command.status, command.body, self.now
             answer.conflicting = command.conflicting
 
-    def put(self, name, version, text=""):
+    def put(self, name: str, version: int, text: str = "") -> Answer:
+        """Sends a configuration; `text` makes its bytes differ from others of that version."""
         body = f"v{version}{text}".encode()
         id = ConfigurationId.of(version, body)
-        return self.call(name, ("put", id, body), lambda ticket: events.ConfigurationSubmitted(ticket, id, body))
+        return self._call(name, Put(id), lambda ticket: events.ConfigurationSubmitted(ticket, id, body))
 
-    def evacuate(self, name, zone, on=True):
-        return self.call(name, ("evacuate", zone, on), lambda ticket: events.EvacuationSubmitted(ticket, zone, on))
+    def evacuate(self, name: str, zone: str, evacuated: bool = True) -> Answer:
+        """Evacuates a zone, or takes it back."""
+        call = Evacuate(zone, evacuated)
+        return self._call(name, call, lambda ticket: events.EvacuationSubmitted(ticket, zone, evacuated))
 
-    def get(self, name):
-        return self.call(name, ("get",), events.ReadRequested)
+    def get(self, name: str) -> Answer:
+        """Reads the configuration in force."""
+        return self._call(name, Get(), events.ReadRequested)
 
-    def finish(self, answer, seconds=1.0):
-        """The status of a call once it is answered; None: none came in time."""
+    def finish(self, answer: Answer, seconds: float = 1.0) -> int | None:
+        """The status of a call once it is answered; None: no answer came in time."""
         self.run_until(lambda: answer.status is not None, seconds)
         return answer.status
 
-    # What holds ------------------------------------------------------------------------------------------------------
+    # What is known ---------------------------------------------------------------------------------------------------
 
-    def running(self):
-        return [m for m in self.machines.values() if m.replica is not None and m.frozen is None]
+    def running(self) -> list[Machine]:
+        """Machines whose processes are up and not suspended."""
+        return [machine for machine in self.machines.values() if machine.is_running()]
 
-    def state(self, name):
+    def lease_holder(self, among: Iterable[Machine] | None = None) -> Machine:
+        """The machine that holds the lease, of those that run."""
+        machines = self.running() if among is None else among
+        return next(machine for machine in machines if machine.replica.lease_held)
+
+    def state(self, name: str) -> Any:
+        """The state that a machine knows to be decided, or None."""
         replica = self.machines[name].replica
         return replica.state if replica is not None else None
 
-    def voters(self, name):
+    def voters(self, name: str) -> str:
         """Names of the machines that vote, as that one knows it; a disk that is gone has a question mark."""
         found = []
         for voter in self.state(name).voters:
             machine = self.by_ip(voter.ip)
-            same = machine.replica is not None and machine.replica.member == voter
-            found.append(machine.name if same else machine.name + "?")
+            assert machine is not None
+            is_same = machine.replica is not None and machine.replica.member == voter
+            found.append(machine.name if is_same else machine.name + "?")
         return "".join(found)
 
-    def settled(self):
+    def event_count(self) -> int:
+        """How many events were scheduled so far."""
+        return self._number
+
+    def is_settled(self) -> bool:
         """Do all that run know the same decided state, its configuration on their disks and no change of members begun?"""
         running = self.running()
         states = {machine.replica.state for machine in running}
-        return (
-            len(states) == 1
-            and None not in states
-            and not next(iter(states)).previous
-            and all(machine.replica.bodies.is_stored(machine.replica.state.configuration) for machine in running)
-        )
-
-
-class History:
-    """Checks what operators were told against what was decided. `wrong` lists what does not fit."""
-
-    def __init__(self, planes):
-        self.planes, self.wrong = planes, []
-
-    def check(self):
-        decided = self._decided()
-        self._one_state_a_revision(decided)
-        self._never_back()
-        self._orders(decided)
-        self._evacuations(decided)
-        self._reads()
-        return self.wrong + self.planes.served_wrong
-
-    def _decided(self):
-        return [(at, m.name, state) for m in self.planes.machines.values() for at, state in m.published]
-
-    def _one_state_a_revision(self, decided):
-        known = {}
-        for _, name, state in decided:
-            other = known.setdefault(state.revision, state)
-            if other != state:
-                self.wrong.append(f"two states of revision {state.revision}, the other at {name}")
-        contents = {}
-        for _, _, state in decided:
-            id = state.configuration
-            if contents.setdefault(id.version, id) != id:
-                self.wrong.append(f"two configurations under {id.version}")
-
-    def _never_back(self):
-        """Within one incarnation of one process, and by number over all decided states."""
-        states = {state.revision: state for _, _, state in self._decided()}
-        versions = [states[revision].configuration.version for revision in sorted(states)]
-        if versions != sorted(versions):
-            self.wrong.append(f"numbers went back: {versions}")
-
-    def _orders(self, decided):
-        """Whoever was confirmed finds that in force which it sent, or a later number; nobody is confirmed under a number
-        that has other bytes, and no order is refused that was taken."""
-        in_force = {state.configuration for _, _, state in decided}
-        numbers = {id.version: id for id in in_force}
-        newest = max(numbers, default=0)
-        confirmed = set()
-        for answer in self.planes.answers:
-            if answer.what[0] != "put":
-                continue
-            id = answer.what[1]
-            held = numbers.get(id.version)
-            if answer.status == 200:
-                confirmed.add(id)
-                if held is not None and held != id:
-                    self.wrong.append(f"confirmed under {id.version}, where other bytes are in force")
-                if id.version > newest:
-                    self.wrong.append(f"{id.version} was confirmed and never came into force")
-            if answer.status == 409 and held == id:
-                self.wrong.append(f"{id.version} was refused, although it was taken")
-
-    def _evacuations(self, decided):
-        """How each zone stands in the end is what an order asked for that no confirmed one of the other kind came after."""
-        newest = max((state for _, _, state in decided), key=lambda state: state.revision, default=None)
-        orders = [answer for answer in self.planes.answers if answer.what[0] == "evacuate"]
-        for zone in {answer.what[1] for answer in orders if newest is not None}:
-            on = zone in newest.evacuated_zones
-            ends = [self._end(a) for a in orders if a.what[1:] == (zone, on)] + ([] if on else [0.0])
-            after = [
-                a for a in orders if a.what[1:] == (zone, not on) and a.status == 200 and a.at > max(ends, default=-1)
-            ]
-            if after or not ends:
-                self.wrong.append(f"{zone} is {on} in the end, after {after}")
-
-    @staticmethod
-    def _end(answer):
-        return answer.ended if answer.status == 200 else answer.at + IN_DOUBT
-
-    def _reads(self):
-        """A read tells nothing older than what was confirmed, or read, before it was asked for."""
-        ended = [a for a in self.planes.answers if a.status == 200 and a.what[0] in ("put", "get")]
-        for read in [a for a in ended if a.what[0] == "get"]:
-            version = self._version(read)
-            before = [self._version(a) for a in ended if a.ended < read.at]
-            if before and version < max(before):
-                self.wrong.append(f"read {version} at {read.node}, {max(before)} was known before")
-
-    def _version(self, answer):
-        if answer.what[0] == "put":
-            return answer.what[1].version
-        digits = answer.body.decode()[1:].split(" ")[0].split("-")[0]
-        return int("".join(c for c in digits if c.isdigit()))
+        if len(states) != 1 or None in states:
+            return False
+        state = next(iter(states))
+        all_stored = all(machine.replica.bodies.is_stored(state.configuration) for machine in running)
+        return not state.previous and all_stored
--- a/tests/cluster/test_at_most_once.py
+++ b/tests/cluster/test_at_most_once.py
@@ -20,6 +20,7 @@
 from fernyard.interface import End
 from fernyard.workers import Outcome
 
+from .guards import assert_each_is_needed
 from .test_router import WORKERS, Bench, plan, route
 
 FAR = {f"n{n}": GatewayAddress(f"n{n}", f"ip{n}", "z2", "r1", "", True) for n in range(2, 5)}
@@ -304,11 +305,4 @@
         play_all()
 
     def test_each_guard_is_needed(self):
-        for name, without in GUARDS.items():
-            with without():
-                failed = False
-                try:
-                    play_all()
-                except self.failureException:
-                    failed = True
-            self.assertTrue(failed, f"nothing fails without: {name}")
+        assert_each_is_needed(self, GUARDS, play_all)
--- a/tests/cluster/test_control_guards.py
+++ b/tests/cluster/test_control_guards.py
@@ -25,7 +25,8 @@
 from fernyard.cluster.control_plane.voter import Voter
 
 from . import control_planes
-from .control_planes import ControlPlanes, History
+from .control_planes import ControlPlanes, Disk
+from .history import History
 from .schedules import SYNC
 
 EXECUTE, SET_CONFIGURATION = Voter._execute, SetConfiguration.apply
@@ -46,7 +47,7 @@
 
 def restart(planes, names="abc"):
     for name in names:
-        planes.disk(name, "well")
+        planes.set_disk(name, Disk.WORKING)
         planes.start(name)
     planes.run(SYNC)
 
@@ -56,10 +57,10 @@
 
 def stalled_disks_lose_power():
     planes = begun()
-    leader = next(m.name for m in planes.running() if m.replica.lease_held)
+    leader = planes.lease_holder().name
     others = [name for name in "abc" if name != leader]
     for name in others:
-        planes.disk(name, "stalled")
+        planes.set_disk(name, Disk.STALLED)
     planes.finish(planes.evacuate(leader, "z1"))
     planes.kill(*others)
     planes.wipe(leader)
@@ -73,7 +74,7 @@
     planes.finish(planes.put("a", 6))
     planes.wipe("a")
     planes.kill("b")
-    planes.join()
+    planes.heal()
     restart(planes, "a")
     planes.finish(planes.get("c"))
     planes.finish(planes.get("a"))
@@ -83,19 +84,19 @@
 def proposal_number_of_a_former_incarnation():
     """A round is accepted by one alone, its proposer loses power before its own disk kept anything, and begins anew."""
     planes = begun()
-    leader = next(m.name for m in planes.running() if m.replica.lease_held)
+    leader = planes.lease_holder().name
     alone, other = [name for name in "abc" if name != leader]
-    planes.disk(leader, "stalled")
+    planes.set_disk(leader, Disk.STALLED)
     planes.evacuate(leader, "z1")
     planes.run(0.005)
-    planes.part(leader + other)
+    planes.partition(leader + other)
     planes.run(0.02)
     planes.kill(leader)
-    planes.join()
+    planes.heal()
     planes.isolate(alone)
     restart(planes, leader)
     planes.finish(planes.evacuate(leader, "z2"))
-    planes.join()
+    planes.heal()
     planes.run(SYNC)
     return History(planes).check()
 
@@ -119,7 +120,7 @@
 
 def late_change_of_members():
     planes = begun()
-    leader = next(m for m in planes.running() if m.replica.lease_held)
+    leader = planes.lease_holder()
     other, third = [m for m in planes.running() if m is not leader]
     planes.add("n")
     planes.start("n")
@@ -137,7 +138,7 @@
 def bodies_are_lost():
     """Two accept a number whose bytes only the third holds; that one loses its disk."""
     planes = begun()
-    leader = next(m.name for m in planes.running() if m.replica.lease_held)
+    leader = planes.lease_holder().name
     others = [name for name in "abc" if name != leader]
     for name in others:  # bytes are pushed and fetched in vain
         planes.machines[name].replica.bodies.add = lambda now, id, content: None
@@ -160,20 +161,20 @@
 
 def order_from_before():
     planes = begun()
-    planes.freeze("a")
+    planes.suspend("a")
     planes.evacuate("a", "z1")
     planes.run(20.0)
     planes.finish(planes.evacuate("b", "z1"))
     planes.finish(planes.evacuate("b", "z1", False))
     planes.run(10.0)
-    planes.thaw("a")
+    planes.resume("a")
     planes.run(SYNC)
     return History(planes).check()
 
 
 def second_loss_before_the_end_of_a_replacement():
     planes = begun()
-    leader = next(m for m in planes.running() if m.replica.lease_held)
+    leader = planes.lease_holder()
     other, third = [m.name for m in planes.running() if m is not leader]
     planes.kill(third)
     planes.add("n")
--- a/tests/cluster/test_control_schedules.py
+++ b/tests/cluster/test_control_schedules.py
@@ -1,12 +1,12 @@
-"""Random schedules of orders and troubles (tests/cluster/schedules.py); many more by tests/cluster/long_run.py."""
+"""Random schedules of calls and faults (tests/cluster/schedules.py); many more by tests/cluster/long_run.py."""
 
 import testtools
 from hypothesis import HealthCheck, settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from testtools.matchers import Equals
 
-from .control_planes import History
-from .schedules import TROUBLES, ZONES, Schedule, play
+from .history import History
+from .schedules import FAULTS, ZONES, Schedule, play
 
 SEEDS = range(150)
 NAMES = st.integers(0, 4)
@@ -27,7 +27,7 @@
 
 
 class Operators(RuleBasedStateMachine):
-    """Orders and troubles as hypothesis chooses them; what goes wrong is made as small as it can be."""
+    """Calls and faults as hypothesis chooses them; what goes wrong is made as small as it can be."""
 
     def __init__(self):
         super().__init__()
@@ -44,27 +44,27 @@
     def put_again(self, at, which):
         self.schedule.put_again(self.name(at), which)
 
-    @rule(at=NAMES, zone=st.sampled_from(ZONES), on=st.booleans())
-    def evacuate(self, at, zone, on):
-        self.schedule.planes.evacuate(self.name(at), zone, on)
+    @rule(at=NAMES, zone=st.sampled_from(ZONES), evacuated=st.booleans())
+    def evacuate(self, at, zone, evacuated):
+        self.schedule.planes.evacuate(self.name(at), zone, evacuated)
 
     @rule(at=NAMES)
     def get(self, at):
         self.schedule.planes.get(self.name(at))
 
-    @rule(at=NAMES, kind=st.sampled_from(TROUBLES))
-    def trouble(self, at, kind):
-        self.schedule.trouble(self.name(at), kind)
+    @rule(at=NAMES, kind=st.sampled_from(FAULTS))
+    def inject(self, at, kind):
+        self.schedule.inject(self.name(at), kind)
 
-    @precondition(lambda self: self.schedule.hurt)
+    @precondition(lambda self: self.schedule.faulty)
     @rule(number=NAMES)
-    def mend(self, number):
-        hurt = sorted(self.schedule.hurt)
-        self.schedule.mend(hurt[number % len(hurt)])
+    def repair(self, number):
+        faulty = sorted(self.schedule.faulty)
+        self.schedule.repair(faulty[number % len(faulty)])
 
     @rule(wipes=st.booleans())
-    def all_at_once(self, wipes):
-        self.schedule.all_at_once(wipes)
+    def lose_power_of_all(self, wipes):
+        self.schedule.lose_power_of_all(wipes)
 
     @rule(seconds=st.sampled_from((0.003, 0.01, 0.05, 0.3, 1.0, 5.0)))
     def wait(self, seconds):
@@ -72,12 +72,12 @@
 
     @invariant()
     def history_holds(self):
-        if self.schedule.planes.number % 7 == 0:
+        if self.schedule.planes.event_count() % 7 == 0:
             assert History(self.schedule.planes).check() == []
 
     def teardown(self):
-        wrong = self.schedule.finish()
-        assert wrong == [], wrong
+        violations = self.schedule.finish()
+        assert violations == [], violations
 
 
 Operators.TestCase.settings = settings(
--- a/tests/cluster/test_control_state.py
+++ b/tests/cluster/test_control_state.py
@@ -32,7 +32,8 @@
 )
 from fernyard.cluster.control_plane.voter import VOTE_AREA
 
-from .control_planes import DISK, LINK, TICK, ControlPlanes, History
+from .control_planes import DISK_DELAY, LINK_DELAY, TICK, ControlPlanes, Deferred, Disk
+from .history import History
 from .schedules import SYNC
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -130,7 +131,7 @@
             answer = planes.put(machine.name, 10 + int(planes.now * 100))
             self.assertThat(planes.finish(answer), Equals(200), (told, machine.name))
         planes.run(1.0)
-        self.assertTrue(planes.settled(), told)
+        self.assertTrue(planes.is_settled(), told)
         self.assertThat(len(planes.state(planes.running()[0].name).voters), Equals(size), told)
         self.assertThat(History(planes).check(), Equals([]), told)
 
@@ -139,7 +140,7 @@
             planes.add("n")
             planes.start("n")
             planes.run(SYNC)
-            planes.leave(name)
+            planes.shut_down(name)
         elif how == "unplanned":
             planes.kill(name)
             planes.run(0.5)
@@ -193,7 +194,7 @@
             planes.run(SYNC)
             self.assertThat(planes.put("a", 3).status, Equals(None))
             self.assertThat(planes.finish(planes.put("b", 4)), Equals(200))
-            planes.join()
+            planes.heal()
             planes.run(SYNC)
             self.assertNotIn(planes.machines["a"].replica.member, planes.state("a").voters)
             planes.kill("b")  # and it takes the place of the next that is lost
@@ -206,7 +207,7 @@
         for seed in range(40):
             planes = ControlPlanes("abcde", seed, delay=FAR)
             planes.run(SYNC)
-            self.assertTrue(planes.settled(), seed)
+            self.assertTrue(planes.is_settled(), seed)
             self.assertThat(len(planes.state("a").voters), Equals(5), seed)
 
     def test_a_wiped_disk_is_replaced_soon_after_a_loss_of_power_of_all(self):
@@ -228,7 +229,7 @@
     def begin(self):
         planes = ControlPlanes()
         planes.run(SYNC)
-        holder = next(m.name for m in planes.running() if m.replica.lease_held)
+        holder = planes.lease_holder().name
         others = [name for name in "abc" if name != holder]
         return planes, holder, others
 
@@ -236,7 +237,7 @@
         """Sent to the frozen one itself, or to another that hands it to the frozen one."""
         for sent_to_frozen in (True, False):
             planes, holder, (other, third) = self.begin()
-            planes.freeze(holder)
+            planes.suspend(holder)
             planes.evacuate(holder if sent_to_frozen else other, "z1")
             planes.run(0.3)
             again = planes.evacuate(third, "z1")
@@ -244,7 +245,7 @@
             planes.run(SYNC)
             self.assertThat(planes.finish(planes.evacuate(third, "z1", False)), Equals(200))
             planes.run(CUT_OFF - SYNC)
-            planes.thaw(holder)
+            planes.resume(holder)
             planes.run(SYNC)
             self.assertThat(planes.state(holder).evacuated_zones, Equals([]), sent_to_frozen)
             self.assertThat(History(planes).check(), Equals([]), sent_to_frozen)
@@ -260,8 +261,8 @@
         late = ReplaceMember(
             members.epoch, term, planes.machines[other].replica.member, planes.machines["n"].replica.member
         )
-        planes.freeze(holder)
-        frozen.frozen.append((frozen.replica.proposer.submit, (planes.now + CUT_OFF, MembershipKey(), late)))
+        planes.suspend(holder)
+        frozen.suspended.append(Deferred(frozen.replica.proposer.submit, (planes.now + CUT_OFF, MembershipKey(), late)))
         registry, follower = Registry(), Registry()
         registry.write(term, {}, {})
         planes.run(CUT_OFF)
@@ -270,12 +271,12 @@
         follower.write(successor.term(), {}, {})
         before = successor.state
         acted = []
-        planes.thaw(holder, lambda: acted.append(frozen.replica.term()))
+        planes.resume(holder, lambda: acted.append(frozen.replica.term()))
         planes.run(SYNC)
         self.assertThat([held for held in acted[1:] if held == term], Equals([]))
         self.assertFalse(follower.follow(registry.since((0, 0), 0.0), 0.0))
         self.assertThat(planes.state(holder).voters, Equals(before.voters))
-        self.assertTrue(planes.settled())
+        self.assertTrue(planes.is_settled())
 
     def test_a_change_of_members_of_an_earlier_epoch_or_term_is_refused(self):
         state = msgspec.structs.replace(FOUNDED, epoch=4, term=7)
@@ -298,7 +299,7 @@
 
     def test_a_cut_off_machine_tells_and_confirms_nothing_and_refuses_nothing(self):
         for names in ("abc", "abcde"):
-            for trouble in ("isolate", "deafen", "mute", "freeze"):
+            for trouble in ("isolate", "deafen", "mute", "suspend"):
                 for leads in (True, False):
                     with self.subTest(names=names, trouble=trouble, leads=leads):
                         self.cut_off(names, trouble, leads)
@@ -319,16 +320,16 @@
             answer = planes.put(others[version % len(others)], version)
             planes.run(0.9)
             self.assertThat(answer.status, Equals(200), version)
-            if trouble != "freeze" and planes.now - began > SERVED_WITHIN:
+            if trouble != "suspend" and planes.now - began > SERVED_WITHIN:
                 self.assertIsNone(victim.replica.served_state(planes.now), version)
-        self.assertThat({a.status for a in told if a.ended < planes.now} - {503, None}, Equals(set()))
-        planes.join()
-        planes.thaw(victim.name)
+        self.assertThat({a.status for a in told if a.answered_at < planes.now} - {503, None}, Equals(set()))
+        planes.heal()
+        planes.resume(victim.name)
         read = planes.get(victim.name)
         self.assertThat(planes.finish(read, 3.0), Equals(200))
         self.assertThat(read.body, Equals(b"v21"))
         planes.run(SYNC)
-        self.assertTrue(planes.settled())
+        self.assertTrue(planes.is_settled())
         self.assertThat(History(planes).check(), Equals([]))
 
 
@@ -343,12 +344,12 @@
 
     def check(self, planes):
         planes.run(SYNC)
-        self.assertTrue(planes.settled())
+        self.assertTrue(planes.is_settled())
         self.assertThat(History(planes).check(), Equals([]))
 
     def test_two_operators_at_two_machines(self):
         """At once, or one after the other; the second is told that the number is taken, and what holds it."""
-        for delay in (LINK, FAR):
+        for delay in (LINK_DELAY, FAR):
             for pause in (0.0, 0.002, 0.004, 0.01, 0.05, 0.3, 2.0):
                 for first, second in ("ab", "bc", "ca", "aa"):
                     planes = ControlPlanes(delay=delay)
@@ -390,7 +391,7 @@
         planes.isolate("a")
         first = planes.put("a", 5, "x")
         self.assertThat(planes.finish(planes.put("b", 5, "y")), Equals(200))
-        planes.join()
+        planes.heal()
         planes.run(2.0)
         self.assertIn(first.status, (409, 503))
         self.assertThat(planes.state("a").configuration, Equals(planes.state("b").configuration))
@@ -413,7 +414,7 @@
                     planes.run(1.0)
                     planes.start("b")
                 planes.run(SYNC + 1.0)
-                self.assertTrue(planes.settled(), (seed, trouble))
+                self.assertTrue(planes.is_settled(), (seed, trouble))
                 self.assertThat(len(planes.state("a").voters), Equals(3))
                 self.assertThat(planes.finish(planes.put("b", 3)), Equals(200), (seed, trouble))
 
@@ -422,7 +423,7 @@
         planes.run(SYNC)
         for name in "mno":
             planes.add(name)
-        planes.part(*(x + y for x in "abc" for y in "mno"), *(y + x for x in "abc" for y in "mno"))
+        planes.partition(*(x + y for x in "abc" for y in "mno"), *(y + x for x in "abc" for y in "mno"))
         planes.seeds = tuple(planes.machines[name].ip for name in "mno")
         for name in "mno":
             planes.start(name)
@@ -431,11 +432,11 @@
         self.assertThat(planes.finish(planes.put("m", 3)), Equals(503))
         planes.seeds = (planes.machines["m"].ip, planes.machines["a"].ip)
         planes.kill("m")
-        planes.join()
+        planes.heal()
         planes.start("m")
         planes.run(SYNC)
         self.assertThat(planes.voters("m"), Equals("abc"))
-        self.assertTrue(planes.settled())
+        self.assertTrue(planes.is_settled())
 
 
 class TestSnapshots(testtools.TestCase):
@@ -451,7 +452,7 @@
             self.assertThat(planes.finish(planes.put("ab"[version % 2], version)), Equals(200), version)
             if version % 50 == 20:
                 hurt = troubles[version // 50 % len(troubles)]
-                planes.disk("c", hurt) if hurt in ("stalled", "full") else getattr(planes, hurt)("c")
+                planes.set_disk("c", Disk(hurt)) if hurt in ("stalled", "full") else getattr(planes, hurt)("c")
             if version % 50 == 40:
                 self.come_back(planes, hurt)
             if version in (10, 100, 500):
@@ -468,8 +469,8 @@
         self.assertThat(History(planes).check(), Equals([]))
 
     def come_back(self, planes, hurt):
-        planes.join()
-        planes.disk("c", "well")
+        planes.heal()
+        planes.set_disk("c", Disk.WORKING)
         if planes.machines["c"].replica is None:
             planes.start("c")
         newest = planes.state("a").configuration
@@ -477,6 +478,6 @@
             lambda: planes.state("c") is not None and planes.state("c").configuration == newest, SYNC
         )
         # A heartbeat each way, and the body.
-        self.assertThat(took, LessThan(2 * TICK + 6 * LINK + 2 * DISK + 0.02), hurt)
+        self.assertThat(took, LessThan(2 * TICK + 6 * LINK_DELAY + 2 * DISK_DELAY + 0.02), hurt)
         planes.run(SYNC)
         self.assertThat(planes.voters("a"), Equals("abc"), hurt)
--- a/tests/cluster/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -15,6 +15,8 @@
 from fernyard.cluster.data_plane.quota import QuotaClient
 from fernyard.cluster.data_plane.usage import counter_id
 
+from .guards import assert_each_is_needed
+
 TENANT = Tenant("t", None, 1000.0, 1000.0, [])
 RUNS, STEPS = 150, 60
 
@@ -209,11 +211,4 @@
         play_all()
 
     def test_each_guard_is_needed(self):
-        for name, without in GUARDS.items():
-            with without():
-                failed = False
-                try:
-                    play_all()
-                except (self.failureException, KeyError):
-                    failed = True
-            self.assertTrue(failed, f"nothing fails without: {name}")
+        assert_each_is_needed(self, GUARDS, play_all, (KeyError,))
--- a/tests/cluster/test_legacy.py
+++ b/tests/cluster/test_legacy.py
@@ -10,7 +10,8 @@
 from fernyard.cluster.control_plane.recovery import recover
 from fernyard.cluster.control_plane.replica_context import ReplicaSettings
 
-from .control_planes import ControlPlanes, History
+from .control_planes import ControlPlanes
+from .history import History
 from .schedules import SYNC
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5")
@@ -58,7 +59,7 @@
             for seed, order in enumerate(permutations(disks) if len(disks) == 3 else [disks]):
                 with self.subTest(name, seed=seed):
                     planes = started(order, seed=seed)
-                    self.assertTrue(planes.settled(), (name, seed))
+                    self.assertTrue(planes.is_settled(), (name, seed))
                     for machine in planes.running():
                         read = planes.get(machine.name)
                         self.assertThat(planes.finish(read), Equals(200 if version else 404), (name, seed))
@@ -74,7 +75,7 @@
         disks = [disk(5), disk(7), disk(9, {"z": (1, "n2", True)})]
         for seed, order in enumerate(permutations(disks)):
             planes = started(order, seed=seed)
-            self.assertTrue(planes.settled(), seed)
+            self.assertTrue(planes.is_settled(), seed)
             held = planes.state("a")
             self.assertIn(held.configuration.version, (7, 9), seed)  # any two of the three hold at least 7
             self.assertThat(History(planes).check(), Equals([]), seed)
--- a/tests/cluster/test_path.py
+++ b/tests/cluster/test_path.py
@@ -21,6 +21,7 @@
 from fernyard.workers import pool
 
 from .gateway import answer, gateway, read_answer
+from .guards import assert_each_is_needed
 from .test_answers import chunks, unguarded
 
 CLIENTS, REQUESTS = 10, 30
@@ -161,15 +162,11 @@
             self.assertTrue(asyncio.run(play(seed)) > CLIENTS * REQUESTS / 3)
 
     def test_each_guard_is_needed(self):
-        for name, without in GUARDS.items():
-            with without():
-                failed = False
-                try:
-                    for seed in range(8):
-                        asyncio.run(play(seed))
-                except self.failureException:
-                    failed = True
-            self.assertTrue(failed, f"nothing fails without: {name}")
+        def play_eight():
+            for seed in range(8):
+                asyncio.run(play(seed))
+
+        assert_each_is_needed(self, GUARDS, play_eight)
 
 
 async def serves(worker, request, writer):
--- a/tests/cluster/test_replica.py
+++ b/tests/cluster/test_replica.py
@@ -5,7 +5,8 @@
 import testtools
 from testtools.matchers import Equals
 
-from .control_planes import ControlPlanes, History
+from .control_planes import ControlPlanes, Disk
+from .history import History
 
 
 def story(*steps, zones=None, version=None, names="abc"):
@@ -121,12 +122,12 @@
             elif what == "start":
                 planes.start(told[0])
             elif what == "cut":
-                planes.part(*told)
+                planes.partition(*told)
             elif what == "heal":
-                planes.join()
+                planes.heal()
             elif what in ("stall", "flow", "refuse", "obey"):
                 for name in told:
-                    planes.disk(name, {"stall": "stalled", "refuse": "full"}.get(what, "well"))
+                    planes.set_disk(name, {"stall": Disk.STALLED, "refuse": Disk.FULL}.get(what, Disk.WORKING))
             planes.run(0.2)
         planes.run(3.0)
         return planes
@@ -150,24 +151,24 @@
         read back, and no read ever goes back behind an acknowledgement."""
         for seed in range(40):
             with self.subTest(seed=seed):
-                self.assertThat(History(self.trouble(seed)).check(), Equals([]), seed)
+                self.assertThat(History(self.random_run(seed)).check(), Equals([]), seed)
 
-    def trouble(self, seed):
+    def random_run(self, seed):
         chance = random.Random(seed)
         planes = ControlPlanes(seed=seed, loss=0.03, doubled=0.03, delay=chance.choice((0.002, 0.055)))
         planes.run(3.0)
-        version, hurt, how = 1, None, None
+        version, faulty, how = 1, None, None
         for _ in range(14):
-            if hurt is None:
-                hurt, how = chance.choice("abc"), chance.choice(["kill", "wipe", "isolate", "stalled", "freeze"])
+            if faulty is None:
+                faulty, how = chance.choice("abc"), chance.choice(["kill", "wipe", "isolate", "stalled", "suspend"])
                 if how == "stalled":
-                    planes.disk(hurt, how)
+                    planes.set_disk(faulty, Disk(how))
                 else:
-                    getattr(planes, how)(hurt)
+                    getattr(planes, how)(faulty)
             else:
-                self.mend(planes, hurt, how)
+                self.repair(planes, faulty, how)
                 planes.run(4.0)
-                hurt = None
+                faulty = None
             version += chance.choice((0, 1, 3))
             planes.put(chance.choice("abc"), version, chance.choice(("", "x")))
             if chance.random() < 0.5:
@@ -175,19 +176,19 @@
             planes.run(chance.choice((0.01, 0.3, 1.0)))
             planes.get(chance.choice("abc"))
             planes.run(1.0)
-        if hurt is not None:
-            self.mend(planes, hurt, how)
+        if faulty is not None:
+            self.repair(planes, faulty, how)
         planes.run(4.0)
-        self.assertTrue(planes.settled(), seed)
+        self.assertTrue(planes.is_settled(), seed)
         for name in "abc":
             self.assertThat(planes.finish(planes.get(name)), Equals(200), (seed, name))
         return planes
 
-    def mend(self, planes, hurt, how):
-        planes.join()
+    def repair(self, planes, faulty, how):
+        planes.heal()
         if how == "stalled":
-            planes.disk(hurt, "well")
-        elif how == "freeze":
-            planes.thaw(hurt)
+            planes.set_disk(faulty, Disk.WORKING)
+        elif how == "suspend":
+            planes.resume(faulty)
         elif how in ("kill", "wipe"):
-            planes.start(hurt)
+            planes.start(faulty)
