--- a/fernyard/cluster/data_plane/endpoints.py
+++ b/fernyard/cluster/data_plane/endpoints.py
@@ -4,6 +4,7 @@
 """
 
 from collections.abc import Collection, Mapping, Sequence
+from math import inf
 from random import Random
 from typing import NamedTuple
 
@@ -60,13 +61,6 @@
         return slowness * (1.0 + QUEUE_COST * wait + load)
 
 
-class Choice(NamedTuple):
-    """An endpoint and what it costs."""
-
-    endpoint: Endpoint
-    cost: float
-
-
 class Requirements(NamedTuple):
     """What an endpoint has to meet. `regions`: None for all; `excluded`: ids; `max_wait`: in usual latencies."""
 
@@ -144,29 +138,17 @@
         """The endpoint that is to get the request, or None. `excluded`: ids of workers; `max_wait`: seconds that the request
         may wait in the worker's queue."""
         required = Requirements(service, regions, excluded, max_wait / self.usual_latency(now, route))
-        best: Choice | None = None
+        best: Endpoint | None = None
+        best_cost = inf
         for tier, endpoints in enumerate(self._tiers.get(service.name, ())):
             tier_cost = TIER_COST[tier] * (LARGE_ANSWER_FACTOR if route.kind == "egress" else 1.0)
-            if best is not None and best.cost < tier_cost + MIN_COST:
+            if best_cost < tier_cost + MIN_COST:
                 break  # none further away can be better
-            best = self._best(now, endpoints, tier_cost, required, best)
-        return best.endpoint if best is not None else None
-
-    def _best(
-        self,
-        now: float,
-        endpoints: Sequence[Endpoint],
-        tier_cost: float,
-        required: Requirements,
-        best: Choice | None,
-    ) -> Choice | None:
-        """The best of `endpoints`, or what was the best before them."""
-        for endpoint in self._sample(self._eligible(now, endpoints, required)):
-            wait = endpoint.queue_wait()
-            cost = endpoint.cost(now, wait) + tier_cost
-            cost += RANDOM_COST * self.random.random()
-            if (best is None or cost < best.cost) and wait <= required.max_wait:
-                best = Choice(endpoint, cost)
+            for endpoint in self._sample(self._eligible(now, endpoints, required)):
+                wait = endpoint.queue_wait()
+                cost = endpoint.cost(now, wait) + tier_cost + RANDOM_COST * self.random.random()
+                if cost < best_cost and wait <= required.max_wait:
+                    best, best_cost = endpoint, cost
         return best
 
     def _sample(self, eligible: list[Endpoint]) -> list[Endpoint]:
--- a/fernyard/cluster/data_plane/timers.py
+++ b/fernyard/cluster/data_plane/timers.py
@@ -2,16 +2,9 @@
 
 from collections.abc import Callable
 from heapq import heappop, heappush
-from typing import Any, NamedTuple
+from typing import Any
 
-
-class Timer(NamedTuple):
-    """`number` orders timers of one moment."""
-
-    due_at: float
-    number: int
-    call: Callable[..., None]
-    arguments: tuple[Any, ...]
+Timer = tuple[float, int, Callable[..., None], tuple[Any, ...]]  # when due; a number that orders those of one moment
 
 
 class Timers:
@@ -24,14 +17,14 @@
     def add(self, due_at: float, call: Callable[..., None], *arguments: Any) -> None:
         """`call(*arguments)` becomes due at that time."""
         self._number += 1
-        heappush(self._queue, Timer(due_at, self._number, call, arguments))
+        heappush(self._queue, (due_at, self._number, call, arguments))
 
     def next_at(self) -> float | None:
         """When the next call is due, or None."""
-        return self._queue[0].due_at if self._queue else None
+        return self._queue[0][0] if self._queue else None
 
     def run_due(self, now: float) -> None:
         """Runs all calls that are due."""
-        while self._queue and self._queue[0].due_at <= now:
-            timer = heappop(self._queue)
-            timer.call(*timer.arguments)
+        while self._queue and self._queue[0][0] <= now:
+            _, _, call, arguments = heappop(self._queue)
+            call(*arguments)
