--- a/tests/cluster/control_model.py
+++ b/tests/cluster/control_model.py
@@ -1,5 +1,5 @@
 """All that can happen in a small model of the control state: three members and one that waits, two orders with other bytes
-under one number at two proposers (x, y), one replacement and its end, one wiped disk, one lost answer; `Explorer` is told
+under one number at two proposers (x, y), one replacement and its end, one wiped disk, one lost answer; `Explorer` is fields
 which of these.
 
 The acceptors, proposers and states are those of the control plane. A request may reach a voter at any time, again, or never,
@@ -47,8 +47,8 @@
 
 
 @attrs.frozen(cache_hash=True, slots=False)
-class Ask:
-    """A proposer asks for a promise, or that `state` is accepted."""
+class PhaseRequest:
+    """A proposer requests for a promise, or that `state` is accepted."""
 
     proposal_number: ProposalNumber
     state: object = None
@@ -91,12 +91,12 @@
 
     def after(self, made):
         pending = tuple((waiting.key, waiting.change) for waiting in made.pending)
-        told = {"highest": made.highest_round, "pending": pending}
+        fields = {"highest": made.highest_round, "pending": pending}
         round = made.round
         if round is None:
             return attrs.evolve(
                 self,
-                **told,
+                **fields,
                 proposal_number=None,
                 base=(),
                 round_known=(),
@@ -109,7 +109,7 @@
             round.promises = {}  # they have been worked into the state
         return attrs.evolve(
             self,
-            **told,
+            **fields,
             proposal_number=round.proposal_number,
             base=round.base,
             round_known=round.known,
@@ -130,7 +130,7 @@
 
 @cache
 def begin(begun, name, vote):
-    """A proposer takes up a change, or begins again; (proposer, Ask)."""
+    """A proposer takes up a change, or begins again; (proposer, PhaseRequest)."""
     made = begun.proposer()
     if name is not None:
         made.submit(0.0, name, CHANGES[name][1])
@@ -138,14 +138,14 @@
     held = NumberedState(vote.accepted, vote.state)
     known = max([begun.known] + ([held] if held[0] is not None else []), key=lambda pair: pair[0])
     ((_, message),) = made.due(0.0, known)
-    return begun.after(made), Ask(message.proposal_number)
+    return begun.after(made), PhaseRequest(message.proposal_number)
 
 
 @cache
-def vote_on(vote, ask, early):
+def vote_on(vote, request, early):
     """(what is answered before the vote is stored, what after, the vote then). `early`: a mutant answers before."""
     acceptor = Acceptor(vote, grants_again=True)
-    outcomes = acceptor.handle(Request(0, ask.proposal_number, ask.state is not None, ask.state))
+    outcomes = acceptor.handle(Request(0, request.proposal_number, request.state is not None, request.state))
     before = [answer(vote.member, outcome) for outcome in outcomes if not isinstance(outcome, StoreVote)]
     after = []
     for outcome in [outcome for outcome in outcomes if isinstance(outcome, StoreVote)]:
@@ -164,12 +164,12 @@
 
 
 @cache
-def hear(begun, told):
-    """(proposer, Ask that it sends or None, (proposal_number, state, confirmed changes) that it decided or None)."""
-    made, sent, decided, (kind, *fields) = begun.proposer(), None, None, told
+def receive(begun, fields):
+    """(proposer, PhaseRequest that it sends or None, (proposal_number, state, confirmed changes) that it decided or None)."""
+    made, sent, decided, (kind, *fields) = begun.proposer(), None, None, fields
     if kind is Promise:
-        asks = [message for _, message in made.promised(Promise(*fields)) if type(message) is Accept]
-        sent = Ask(asks[0].proposal_number, asks[0].state) if asks else None
+        requests = [message for _, message in made.promised(Promise(*fields)) if type(message) is Accept]
+        sent = PhaseRequest(requests[0].proposal_number, requests[0].state) if requests else None
     elif kind is Accepted:
         decided = made.accepted(Accepted(*fields))
     else:
@@ -187,8 +187,8 @@
 
 @attrs.frozen(cache_hash=True, slots=False)
 class World:
-    """`sent`: (proposer, Ask) that may yet arrive; `voted`: (proposal_number, state, member) of all acceptances there ever were;
-    `confirmed`: changes that a proposer told to be decided; the rest counts what may still happen."""
+    """`sent`: (proposer, PhaseRequest) that may yet arrive; `voted`: (proposal_number, state, member) of all acceptances there ever were;
+    `confirmed`: changes that a proposer fields to be decided; the rest counts what may still happen."""
 
     votes: tuple
     proposers: tuple
@@ -213,7 +213,7 @@
 
     def run(self):
         """What goes wrong first, or None once all was seen."""
-        for cached in begin, vote_on, hear, chosen:
+        for cached in begin, vote_on, receive, chosen:
             cached.cache_clear()
         votes = [Vote(member, None, START, FOUNDED) for member in FOUNDED.voters]
         first = World((*votes, Vote(SPARE)), (Begun(1), Begun(2)), **self.counts)
@@ -234,9 +234,9 @@
 
     def follow(self, world):
         yield from self._begin(world)
-        for sender, ask in world.sent:
-            for machine in self._asked_machines(world, sender, ask):
-                yield from self._arrive(world, sender, ask, machine)
+        for sender, request in world.sent:
+            for machine in self._requested_machines(world, sender, request):
+                yield from self._arrive(world, sender, request, machine)
         for proposal_number, state in chosen(world.voted):
             for number, proposer in enumerate(world.proposers):
                 if (
@@ -249,10 +249,10 @@
             for machine in range(3):
                 yield self._wipe(world, machine)
 
-    def _asked_machines(self, world, sender, ask):
+    def _requested_machines(self, world, sender, request):
         """The one that waits is asked where it votes."""
         known = world.proposers[sender].round_known
-        state = ask.state if ask.state is not None else known[1] if known else FOUNDED
+        state = request.state if request.state is not None else known[1] if known else FOUNDED
         return range(4) if SPARE in state.electorate else range(3)
 
     def _begin(self, world):
@@ -274,39 +274,41 @@
             state = vote.state
         return bool(state.previous) if name == "finish" else name != "replace" or state.epoch == 1
 
-    def _sent(self, world, number, proposer, ask, name=None):
+    def _sent(self, world, number, proposer, request, name=None):
         if self.hasty and name == "finish":
             proposer = attrs.evolve(proposer, decided_epoch=2)
         begun = world.begun | {name} if name else world.begun
-        return evolve(world, number, proposer, sent=self._asked(world, number, ask), begun=begun)
+        return evolve(world, number, proposer, sent=self._with_request(world, number, request), begun=begun)
 
     @staticmethod
-    def _asked(world, number, ask):
+    def _with_request(world, number, request):
         """Asks for a promise that are followed by others are forgotten."""
-        return frozenset(old for old in world.sent if old[0] != number or old[1].state is not None) | {(number, ask)}
+        return frozenset(old for old in world.sent if old[0] != number or old[1].state is not None) | {
+            (number, request)
+        }
 
-    def _arrive(self, world, sender, ask, machine):
+    def _arrive(self, world, sender, request, machine):
         vote = world.votes[machine]
-        before, after, made = vote_on(vote, ask, self.early)
-        kinds = {told[0] for told in before + after}
+        before, after, made = vote_on(vote, request, self.early)
+        kinds = {fields[0] for fields in before + after}
         if Refusal in kinds:
             return  # its proposer goes on as if it were lost
         stored = evolve(world, votes=(*world.votes[:machine], made, *world.votes[machine + 1 :]))
         if Accepted in kinds:
-            stored = evolve(stored, voted=world.voted | {(ask.proposal_number, ask.state, vote.member)})
-        yield self._heard(stored, sender, before + after)
+            stored = evolve(stored, voted=world.voted | {(request.proposal_number, request.state, vote.member)})
+        yield self._received(stored, sender, before + after)
         if world.losses and made != vote:
             yield evolve(stored, losses=world.losses - 1)
         if world.crashes and self.early and made != vote:
             # Power is lost before the vote is on the disk.
-            yield self._heard(evolve(stored, votes=world.votes, crashes=world.crashes - 1), sender, before)
+            yield self._received(evolve(stored, votes=world.votes, crashes=world.crashes - 1), sender, before)
 
-    def _heard(self, world, sender, answers):
-        for told in answers:
-            proposer, ask, decided = hear(world.proposers[sender], told)
+    def _received(self, world, sender, answers):
+        for fields in answers:
+            proposer, request, decided = receive(world.proposers[sender], fields)
             world = evolve(world, sender, proposer)
-            if ask is not None:
-                world = evolve(world, sent=self._asked(world, sender, ask))
+            if request is not None:
+                world = evolve(world, sent=self._with_request(world, sender, request))
             if decided is not None:
                 proposal_number, state, confirmed = decided
                 voted = {(proposal_number, state, member) for member in state.electorate}
--- a/tests/cluster/gateway.py
+++ b/tests/cluster/gateway.py
@@ -10,7 +10,7 @@
 from fernyard.cluster.data_plane.process import DataPlane
 from fernyard.lab.runner import free_port
 
-from .test_configuration import TOLD
+from .test_configuration import SETTINGS_FIELDS
 from .test_router import plan, route
 
 HOST = "127.0.0.1"
@@ -72,11 +72,11 @@
     """`ask` sends one request on a connection of its own or on a kept one."""
 
     def __init__(self, workers):
-        told = settings.parse({**TOLD, "caps": {"linkMbps": 1000.0, "maxFds": 1000}, "zones": {"z": "r"}})
+        told = settings.parse({**SETTINGS_FIELDS, "caps": {"linkMbps": 1000.0, "maxFds": 1000}, "zones": {"z": "r"}})
         self.plane, self.port, self.workers, self.number = DataPlane(told), free_port(), workers, 0
 
-    def configure(self, version=5, **told):
-        self.plane.handle_event(events.ConfigurationChanged(ConfigurationUpdate(version, plan(version, **told), [])))
+    def configure(self, version=5, **fields):
+        self.plane.handle_event(events.ConfigurationChanged(ConfigurationUpdate(version, plan(version, **fields), [])))
 
     def start(self):
         # Without a rest after each answer: else whether a connection is used again goes by time.
@@ -94,13 +94,13 @@
         lines = "".join(f"{name}: {value}\r\n" for name, value in told.items() if value is not None)
         return f"{method} {path} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
-    async def ask(self, id=None, path="/w/x", connection=None, **told):
+    async def ask(self, id=None, path="/w/x", connection=None, **fields):
         """(status, headers, body); status 0 where the connection ended without a whole answer."""
         self.number += 1
         reader, writer = connection or await asyncio.open_connection(HOST, self.port)
-        writer.write(self.head(id or f"id-{self.number}", path, **told))
+        writer.write(self.head(id or f"id-{self.number}", path, **fields))
         try:
-            return await read_answer(reader, told.get("method"))
+            return await read_answer(reader, fields.get("method"))
         finally:
             if connection is None:
                 writer.close()
--- a/tests/cluster/long_run.py
+++ b/tests/cluster/long_run.py
@@ -23,15 +23,15 @@
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--steps", type=int, default=STEPS)
-    told = parser.parse_args()
+    options = parser.parse_args()
     began, broken = time.monotonic(), 0
-    with ProcessPoolExecutor(told.jobs) as pool:
-        seeds = range(told.first, told.first + told.seeds)
-        for seed, wrong in pool.map(partial(judge, steps=told.steps), seeds, chunksize=4):
+    with ProcessPoolExecutor(options.jobs) as pool:
+        seeds = range(options.first, options.first + options.seeds)
+        for seed, wrong in pool.map(partial(judge, steps=options.steps), seeds, chunksize=4):
             if wrong:
                 broken += 1
                 print(f"seed {seed}: {wrong}", flush=True)
-    print(f"{told.seeds} seeds from {told.first}, {broken} broken, {time.monotonic() - began:.0f} s")
+    print(f"{options.seeds} seeds from {options.first}, {broken} broken, {time.monotonic() - began:.0f} s")
     return 1 if broken else 0
 
 
--- a/tests/cluster/test_at_most_once.py
+++ b/tests/cluster/test_at_most_once.py
@@ -33,19 +33,19 @@
 
 
 def ended(end, status=0, sent=True, which=-1):
-    """The last dispatch of the request ends so, or the one before it again."""
+    """The last attempt of the request ends so, or the one before it again."""
 
-    def tell(bench, number):
+    def apply(bench, number):
         sends = bench.sends(number)
         if sends:
             send = sends[which]
-            bench.tell(Outcome(number, send.attempt, send.worker, end, 100, b"x", (), status, sent))
+            bench.handle(Outcome(number, send.attempt, send.worker, end, 100, b"x", (), status, sent))
 
-    return tell
+    return apply
 
 
-def told(event):
-    return lambda bench, number: bench.tell(event(number))
+def sending(event):
+    return lambda bench, number: bench.handle(event(number))
 
 
 def reused(bench, number):
@@ -53,7 +53,7 @@
     workers = dict.fromkeys(WORKERS) | {
         f"new-{n}": Worker(n, "other", w.address, "z1", 4, False) for n, w in WORKERS.items()
     }
-    bench.tell(events.RegistryChanged(RegistryUpdate((1, 1), (1, 2), workers, {}, bench.now)))
+    bench.handle(events.RegistryChanged(RegistryUpdate((1, 1), (1, 2), workers, {}, bench.now)))
 
 
 EVENTS = {
@@ -70,44 +70,44 @@
     "no connection": ended(End.NO_CONNECTION),
     "not written": ended(End.UNSENT),
     "an outcome that came before": ended(End.FULL, 503, which=0),
-    "an outcome of no dispatch": told(lambda n: Outcome(n, 99, "w1", End.PASSED, 1, b"", (), 200)),
-    "client gone": told(events.ClientGone),
+    "an outcome of no attempt": sending(lambda n: Outcome(n, 99, "w1", End.PASSED, 1, b"", (), 200)),
+    "client gone": sending(events.ClientGone),
     "thawed after 3 s": lambda bench, number: bench.later(3.1),
-    "kind changed": told(lambda n: configured(9, w="idempotent")),
-    "route dropped": told(lambda n: configured(9)),
+    "kind changed": sending(lambda n: configured(9, w="idempotent")),
+    "route dropped": sending(lambda n: configured(9)),
     "workers' addresses reused": reused,
-    "a foreign total": told(lambda n: events.CountAnswered(Total(1, 99, 0, 0, 0.0, 0.0, 1.0, NO_VERSION))),
+    "a foreign total": sending(lambda n: events.CountAnswered(Total(1, 99, 0, 0, 0.0, 0.0, 1.0, NO_VERSION))),
 }
 
 
 def counting(bench):
-    return bench.ask("/w/x", "k-few")
+    return bench.arrive("/w/x", "k-few")
 
 
 def out(bench):
-    return bench.ask("/w/x")
+    return bench.arrive("/w/x")
 
 
 def out_again(bench):
-    number = bench.ask("/w/x")
+    number = bench.arrive("/w/x")
     bench.end(number, End.FULL, 503)
     return number
 
 
 def gone(bench):
-    number = bench.ask("/w/x")
-    bench.tell(events.ClientGone(number))
+    number = bench.arrive("/w/x")
+    bench.handle(events.ClientGone(number))
     return number
 
 
 def answered(bench):
-    number = bench.ask("/w/x")
+    number = bench.arrive("/w/x")
     bench.end(number, End.PASSED, 200)
     return number
 
 
 def failed(bench):
-    number = bench.ask("/w/x")
+    number = bench.arrive("/w/x")
     bench.end(number, End.RESET)
     return number
 
@@ -122,7 +122,7 @@
     "cancelled": 502,
 }
 GOES_AGAIN = ("Not-Run", "421", "time up before a connection", "no connection", "not written")
-# State -> how to come there, dispatches so far, the client's status so far, and for the events that change something the
+# State -> how to come there, attempts so far, the client's status so far, and for the events that change something the
 # same two afterwards.
 STATES = {
     "not sent": (counting, 0, None, {"thawed after 3 s": (0, 503)}),
@@ -158,7 +158,7 @@
                 self.assertThat(after, Equals(changes.get(name, (sends, status))), (state, name))
 
     def test_a_kind_that_changes_under_way(self):
-        """(kind when taken, kind when it fails, the failure) -> dispatches: never more of what may not be repeated."""
+        """(kind when taken, kind when it fails, the failure) -> attempts: never more of what may not be repeated."""
         for before, since, event, sends in (
             ("idempotent", "idempotent", "reset, cut or foreign", 2),
             ("idempotent", "mutating", "reset, cut or foreign", 1),
@@ -171,8 +171,8 @@
             ("none yet known", "egress", "reset, cut or foreign", 1),
         ):
             bench = Bench(hosts={"h.example": [route("w", "/w/", before)]})
-            number = bench.ask("/w/x")
-            bench.tell(configured(9, w=since))
+            number = bench.arrive("/w/x")
+            bench.handle(configured(9, w=since))
             EVENTS.get(event, lambda bench, number: bench.later(1.0))(bench, number)
             self.assertThat(len(bench.sends(number)), Equals(sends), (before, since, event))
 
@@ -181,7 +181,7 @@
     """A router, clients, and workers that run requests or not and say so or not."""
 
     KINDS = "idempotent", "mutating"
-    # What a worker may do: (it runs the request now, it may run it later, how the dispatch ends, status, it was sent).
+    # What a worker may do: (it runs the request now, it may run it later, how the attempt ends, status, it was sent).
     FATES = (
         (True, False, End.PASSED, 200, True),
         (True, False, End.ERROR, 500, True),
@@ -207,25 +207,25 @@
     def configure(self):
         self.version += 1
         self.kinds = {name: self.random.choice(self.KINDS) for name in "ab"}
-        self.bench.tell(configured(self.version, **self.kinds))
+        self.bench.handle(configured(self.version, **self.kinds))
 
-    def note_sends(self):
-        """Dispatches that went out while the route was of the kind that may not be repeated."""
-        for order in self.bench.orders[self.seen :]:
-            if type(order) is commands.ForwardRequest and self.kinds[self.name_of[order.number]] == "mutating":
-                self.sent_once.add((order.number, order.attempt))
-        self.seen = len(self.bench.orders)
+    def record_forwards(self):
+        """Attempts that went out while the route was of the kind that may not be repeated."""
+        for command in self.bench.executed[self.seen :]:
+            if type(command) is commands.ForwardRequest and self.kinds[self.name_of[command.number]] == "mutating":
+                self.sent_once.add((command.number, command.attempt))
+        self.seen = len(self.bench.executed)
 
-    def ask(self):
+    def arrive(self):
         name = self.random.choice("ab")
-        number = self.bench.ask(f"/{name}/x", left=self.random.choice((0.5, 3.0)))
+        number = self.bench.arrive(f"/{name}/x", left=self.random.choice((0.5, 3.0)))
         self.name_of[number] = name
         self.runs[number] = []
         if self.kinds[name] == "mutating":
             self.once.add(number)
 
     def end(self):
-        """One dispatch ends, or one that ended is told of again."""
+        """One attempt ends, or one that ended is told of again."""
         sends = self.sends()
         if not sends:
             return
@@ -235,10 +235,10 @@
             self.over.append((send.number, send.attempt))
             self.runs[send.number] += [send.attempt] * runs_now
             self.later += [send] * runs_later
-        self.bench.tell(Outcome(send.number, send.attempt, send.worker, end, 100, b"x", (), status, sent))
+        self.bench.handle(Outcome(send.number, send.attempt, send.worker, end, 100, b"x", (), status, sent))
 
     def sends(self):
-        return [order for order in self.bench.orders if type(order) is commands.ForwardRequest]
+        return [command for command in self.bench.executed if type(command) is commands.ForwardRequest]
 
     def run_late(self):
         if self.later:
@@ -247,19 +247,19 @@
 
     def go(self):
         if self.name_of:
-            self.bench.tell(events.ClientGone(self.random.choice(list(self.name_of))))
+            self.bench.handle(events.ClientGone(self.random.choice(list(self.name_of))))
 
     def pass_time(self):
         self.bench.later(self.random.choice((0.01, 0.3, 3.0)))  # the last: frozen, all timers due at once
 
     def play(self):
-        steps = [self.ask] * 4 + [self.end] * 8 + [self.configure, self.go, self.pass_time, self.run_late]
+        steps = [self.arrive] * 4 + [self.end] * 8 + [self.configure, self.go, self.pass_time, self.run_late]
         for _ in range(STEPS):
             self.random.choice(steps)()
-            self.note_sends()
+            self.record_forwards()
         while len(self.over) < len(self.sends()):
             self.end()
-            self.note_sends()
+            self.record_forwards()
         while self.later:
             self.run_late()
         self.check()
@@ -267,7 +267,7 @@
     def check(self):
         for number, runs in self.runs.items():
             again = sorted(runs)[1:]
-            if again and (number in self.once or any((number, dispatch) in self.sent_once for dispatch in again)):
+            if again and (number in self.once or any((number, attempt) in self.sent_once for attempt in again)):
                 raise AssertionError(f"request {number} ran {len(runs)} times")
             if number in self.once and self.bench.final(number) in PROMISES and runs:
                 raise AssertionError(f"request {number} was told {self.bench.final(number)} and ran")
@@ -280,7 +280,7 @@
         World(seed).play()
 
 
-def repeatable_when_taken(self, request):
+def repeatable_on_arrival(self, request):
     return request.route.kind in router_module.REPEATABLE
 
 
@@ -289,7 +289,7 @@
         RequestRouter, "_repeatable", lambda self, request: True
     ),
     "the configuration that holds now is asked, too": lambda: mock.patch.object(
-        RequestRouter, "_repeatable", repeatable_when_taken
+        RequestRouter, "_repeatable", repeatable_on_arrival
     ),
     "what may have run is told from what never ran": lambda: mock.patch.object(
         router_module, "surely_never_ran", lambda outcome: True
--- a/tests/cluster/test_configuration.py
+++ b/tests/cluster/test_configuration.py
@@ -12,7 +12,7 @@
 
 
 def config(**changes):
-    told = {
+    parsed = {
         "ver": "0000000c",
         "svcs": [{"name": "s1", "coldS": 3, "coldRateS": 10.0}, {"name": "s2"}],
         "caps": {"headerBytes": 16384, "bodyBytes": 1000, "headerTimeoutS": 3, "idleTimeoutS": 15},
@@ -33,10 +33,10 @@
         ],
     }
     path = changes.pop("path", None)
-    told.update(changes)
+    parsed.update(changes)
     if path:
-        told["vhosts"][0]["paths"][0].update(path)
-    return json.dumps(told).encode()
+        parsed["vhosts"][0]["paths"][0].update(path)
+    return json.dumps(parsed).encode()
 
 
 def replaced(old, new):
@@ -137,7 +137,7 @@
     "an endless idle time": replaced(b'"idleTimeoutS": 15', b'"idleTimeoutS": ' + ENDLESS),
 }
 
-TAKEN = {
+VALID = {
     "fields that nobody knows": config(unknown={"field": 1}),
     "capital digits in the version": config(ver="0000000C"),
     "white space behind the end": config() + b" \n",
@@ -172,10 +172,10 @@
 
 
 class TestConfiguration(testtools.TestCase):
-    def test_taken(self):
-        stamp, told = configuration.read(config(unknown={"field": 1}))
+    def test_valid(self):
+        stamp, parsed = configuration.read(config(unknown={"field": 1}))
         self.assertThat(stamp.version, Equals(12))
-        plan = configuration.plan_of(stamp, told)
+        plan = configuration.plan_of(stamp, parsed)
         self.assertThat([route.prefix for route in plan.hosts["h.example"]], Equals(["/a/", "/a/b/"]))
         self.assertThat(plan.keys, Equals({"k1": 0, "k2": 0}))
         self.assertTrue(plan.keyed)
@@ -196,9 +196,9 @@
             error = self.assertRaises(ConfigurationError, configuration.read, body)
             self.assertIn("W200", str(error), name)
 
-    def test_taken_too(self):
+    def test_valid_where_no_rule_forbids(self):
         """What no rule forbids is taken: a valid change that is refused has its price."""
-        for name, body in TAKEN.items():
+        for name, body in VALID.items():
             try:
                 configuration.plan_of(*configuration.read(body))
             except ConfigurationError as why:
@@ -208,9 +208,9 @@
         """What lies on a disk was acknowledged once: it is read back without the checks of new orders."""
         body = config(path={"timeoutS": 0, "tries": 0})
         self.assertRaises(ConfigurationError, configuration.read, body)
-        id, told = configuration.parse(body)
+        id, parsed = configuration.parse(body)
         self.assertThat(id.version, Equals(12))
-        self.assertThat(configuration.plan_of(id, told).hosts["h.example"][0].tries, Equals(1))
+        self.assertThat(configuration.plan_of(id, parsed).hosts["h.example"][0].tries, Equals(1))
 
     def test_no_key_in_a_complaint(self):
         error = self.assertRaises(ConfigurationError, configuration.read, REFUSED["a key under two tenants"])
@@ -234,7 +234,7 @@
             self.assertThat(handler, Equals(wanted), (method, path, bind))
 
 
-TOLD = {
+SETTINGS_FIELDS = {
     "node": "n",
     "ip": "10.0.0.1",
     "zone": "z",
@@ -249,10 +249,10 @@
 
 class TestSettings(testtools.TestCase):
     def test_read(self):
-        told = settings.parse(TOLD)
-        self.assertThat(told.bounds, Equals({"a": 1.0, "b": True, "c": 0.5}))
-        self.assertThat(told.seeds, Equals((("10.0.0.1", 9),)))
-        self.assertThat(told.internal, Equals(("10.0.0.1", 1)))
+        parsed = settings.parse(SETTINGS_FIELDS)
+        self.assertThat(parsed.bounds, Equals({"a": 1.0, "b": True, "c": 0.5}))
+        self.assertThat(parsed.seeds, Equals((("10.0.0.1", 9),)))
+        self.assertThat(parsed.internal, Equals(("10.0.0.1", 1)))
 
     def test_refused(self):
         for name, value in (
@@ -266,10 +266,10 @@
             ("bootstrap", "yes"),
             ("cloud", {"addr": "1"}),
         ):
-            told = {**TOLD, name: value}
+            parsed = {**SETTINGS_FIELDS, name: value}
             if value is None:
-                del told[name]
-            error = self.assertRaises(SettingsError, settings.parse, told)
+                del parsed[name]
+            error = self.assertRaises(SettingsError, settings.parse, parsed)
             self.assertIn("S100", str(error))
             self.assertIn(name, str(error))
 
--- a/tests/cluster/test_control_state.py
+++ b/tests/cluster/test_control_state.py
@@ -63,8 +63,8 @@
     )
 
 
-def saved(orders):
-    return [order for order in orders if type(order) is commands.StoreArea]
+def stored(executed):
+    return [command for command in executed if type(command) is commands.StoreArea]
 
 
 class TestOneReplica(testtools.TestCase):
@@ -74,11 +74,11 @@
         """One whose first vote is on its disk."""
         vote = vote or Vote(FOUNDED.voters[0], None, ProposalNumber(0, 0), FOUNDED)
         replica = Replica(0.0, SETTINGS, incarnation, vote, bodies or {})
-        for order in saved(replica.step(0.0, events.Tick())):
-            replica.step(0.0, events.AreaStored(order.area, True))
+        for command in stored(replica.step(0.0, events.Tick())):
+            replica.step(0.0, events.AreaStored(command.area, True))
         return replica
 
-    def test_a_heartbeat_overtaken_by_another_with_the_same_ask_does_not_take_its_place(self):
+    def test_a_heartbeat_overtaken_by_another_with_the_same_sequence_does_not_take_its_place(self):
         peers, own = PeerTable(1), Vote(FOUNDED.voters[0], None, ProposalNumber(0, 0), FOUNDED)
         ask = peers.next_sequence(10.0)
         peers.record_heartbeat(10.1, heartbeat(5, ask, ProposalNumber(3, 2)))
@@ -89,30 +89,30 @@
 
     def test_a_body_stays_while_a_vote_for_it_is_on_its_way_to_the_disk(self):
         replica = self.replica()
-        for order in saved(replica.step(1.0, events.BodyReceived(ID, b"one"))):
-            replica.step(1.0, events.AreaStored(order.area, True))
+        for command in stored(replica.step(1.0, events.BodyReceived(ID, b"one"))):
+            replica.step(1.0, events.AreaStored(command.area, True))
         state = msgspec.structs.replace(FOUNDED, configuration=ID, revision=1)
-        (vote,) = saved(replica.step(2.0, events.MessageReceived(IPS[1], Accept(ProposalNumber(1, 2), state))))
-        orders = replica.step(2.0 + UNUSED_RETENTION, events.Tick()) + replica.step(
+        (vote,) = stored(replica.step(2.0, events.MessageReceived(IPS[1], Accept(ProposalNumber(1, 2), state))))
+        executed = replica.step(2.0 + UNUSED_RETENTION, events.Tick()) + replica.step(
             2.0 + UNUSED_RETENTION, events.AreaStored(VOTE_AREA, True)
         )
         self.assertThat(replica.vote.state.configuration, Equals(ID))
-        self.assertNotIn(commands.EraseArea(area_of(ID)), orders)
+        self.assertNotIn(commands.EraseArea(area_of(ID)), executed)
 
     def test_a_vote_read_from_the_disk_counts_also_where_its_configuration_is_lost(self):
         state = msgspec.structs.replace(FOUNDED, configuration=ID, revision=1)
         replica = self.replica(Vote(FOUNDED.voters[0], ProposalNumber(4, 2), ProposalNumber(4, 2), state))
         self.assertIsNotNone(replica.vote)
 
-    def test_a_round_that_stood_still_with_its_process_proposes_nothing(self):
+    def test_a_round_that_was_suspended_with_its_process_proposes_nothing(self):
         replica = self.replica()
-        orders = replica.step(1.0, events.EvacuationSubmitted(7, "z1", True))
-        prepare = next(o.message for o in orders if type(o) is commands.SendMessage and type(o.message) is Prepare)
+        executed = replica.step(1.0, events.EvacuationSubmitted(7, "z1", True))
+        prepare = next(o.message for o in executed if type(o) is commands.SendMessage and type(o.message) is Prepare)
         promise = Promise(FOUNDED.voters[1], prepare.proposal_number, ProposalNumber(0, 0), FOUNDED)
         replica.step(1.0, events.AreaStored(VOTE_AREA, True))
-        orders = replica.step(1.0 + CUT_OFF, events.MessageReceived(IPS[1], promise))
+        executed = replica.step(1.0 + CUT_OFF, events.MessageReceived(IPS[1], promise))
         self.assertThat(
-            [o for o in orders if type(o) is commands.SendMessage and type(o.message) is Accept], Equals([])
+            [o for o in executed if type(o) is commands.SendMessage and type(o.message) is Accept], Equals([])
         )
 
 
@@ -125,15 +125,15 @@
         self.assertThat(planes.finish(planes.put("a", 1)), Equals(200))
         return planes
 
-    def check(self, planes, size, told):
+    def check(self, planes, size, case):
         """All is well again: a change at each machine is taken, the voters are as many as ever, and the history holds."""
         for machine in planes.running():
             answer = planes.put(machine.name, 10 + int(planes.now * 100))
-            self.assertThat(planes.finish(answer), Equals(200), (told, machine.name))
+            self.assertThat(planes.finish(answer), Equals(200), (case, machine.name))
         planes.run(1.0)
-        self.assertTrue(planes.is_settled(), told)
-        self.assertThat(len(planes.state(planes.running()[0].name).voters), Equals(size), told)
-        self.assertThat(History(planes).check(), Equals([]), told)
+        self.assertTrue(planes.is_settled(), case)
+        self.assertThat(len(planes.state(planes.running()[0].name).voters), Equals(size), case)
+        self.assertThat(History(planes).check(), Equals([]), case)
 
     def replace(self, planes, how, name):
         if how == "planned":
@@ -223,7 +223,7 @@
             self.assertThat(planes.voters("a"), Equals("abc"), seed)
 
 
-class TestStandingStill(testtools.TestCase):
+class TestSuspended(testtools.TestCase):
     """Point 5, and what point 1 says of a frozen machine: nothing from before is done after it wakes."""
 
     def begin(self):
@@ -235,10 +235,10 @@
 
     def test_an_order_from_before_does_not_undo_a_later_one(self):
         """Sent to the frozen one itself, or to another that hands it to the frozen one."""
-        for sent_to_frozen in (True, False):
+        for sent_to_suspended in (True, False):
             planes, holder, (other, third) = self.begin()
             planes.suspend(holder)
-            planes.evacuate(holder if sent_to_frozen else other, "z1")
+            planes.evacuate(holder if sent_to_suspended else other, "z1")
             planes.run(0.3)
             again = planes.evacuate(third, "z1")
             self.assertThat(planes.finish(again), Equals(200))
@@ -247,10 +247,10 @@
             planes.run(CUT_OFF - SYNC)
             planes.resume(holder)
             planes.run(SYNC)
-            self.assertThat(planes.state(holder).evacuated_zones, Equals([]), sent_to_frozen)
-            self.assertThat(History(planes).check(), Equals([]), sent_to_frozen)
+            self.assertThat(planes.state(holder).evacuated_zones, Equals([]), sent_to_suspended)
+            self.assertThat(History(planes).check(), Equals([]), sent_to_suspended)
 
-    def test_a_holder_of_the_lease_that_stood_still_does_nothing_under_its_old_term(self):
+    def test_a_lease_holder_that_was_suspended_does_nothing_under_its_old_term(self):
         """It was about to replace a member and to write the registry; others have done both since."""
         planes, holder, (other, third) = self.begin()
         frozen = planes.machines[holder]
@@ -281,13 +281,13 @@
     def test_a_change_of_members_of_an_earlier_epoch_or_term_is_refused(self):
         state = msgspec.structs.replace(FOUNDED, epoch=4, term=7)
         new = Member("10.0.0.4", 5)
-        for epoch, term, leaving, joining in (
+        for epoch, term, removed, added in (
             (3, 7, FOUNDED.voters[0], new),
             (4, 6, FOUNDED.voters[0], new),
             (4, 7, new, Member("10.0.0.5", 6)),
             (4, 7, FOUNDED.voters[0], FOUNDED.voters[1]),
         ):
-            self.assertRaises(OutdatedChangeError, ReplaceMember(epoch, term, leaving, joining).apply, state)
+            self.assertRaises(OutdatedChangeError, ReplaceMember(epoch, term, removed, added).apply, state)
         begun = ReplaceMember(4, 7, FOUNDED.voters[0], new).apply(state)
         self.assertRaises(
             OutdatedChangeError, ReplaceMember(5, 7, FOUNDED.voters[1], Member("10.0.0.5", 6)).apply, begun
@@ -299,30 +299,30 @@
 
     def test_a_cut_off_machine_tells_and_confirms_nothing_and_refuses_nothing(self):
         for names in ("abc", "abcde"):
-            for trouble in ("isolate", "deafen", "mute", "suspend"):
+            for fault in ("isolate", "deafen", "mute", "suspend"):
                 for leads in (True, False):
-                    with self.subTest(names=names, trouble=trouble, leads=leads):
-                        self.cut_off(names, trouble, leads)
+                    with self.subTest(names=names, fault=fault, leads=leads):
+                        self.cut_off(names, fault, leads)
 
-    def cut_off(self, names, trouble, leads):
+    def cut_off(self, names, fault, leads):
         planes = ControlPlanes(names)
         planes.run(SYNC)
         self.assertThat(planes.finish(planes.put("a", 1)), Equals(200))
         victim = next(m for m in planes.running() if m.replica.lease_held == leads)
         others = [name for name in names if name != victim.name]
-        getattr(planes, trouble)(victim.name)
-        began, told = planes.now, []
+        getattr(planes, fault)(victim.name)
+        began, answers = planes.now, []
         for version in range(2, 22):
             planes.run(0.1)
-            told.append(planes.put(victim.name, version, "other"))
-            told.append(planes.evacuate(victim.name, "z"))
-            told.append(planes.get(victim.name))
+            answers.append(planes.put(victim.name, version, "other"))
+            answers.append(planes.evacuate(victim.name, "z"))
+            answers.append(planes.get(victim.name))
             answer = planes.put(others[version % len(others)], version)
             planes.run(0.9)
             self.assertThat(answer.status, Equals(200), version)
-            if trouble != "suspend" and planes.now - began > SERVED_WITHIN:
+            if fault != "suspend" and planes.now - began > SERVED_WITHIN:
                 self.assertIsNone(victim.replica.served_state(planes.now), version)
-        self.assertThat({a.status for a in told if a.answered_at < planes.now} - {503, None}, Equals(set()))
+        self.assertThat({a.status for a in answers if a.answered_at < planes.now} - {503, None}, Equals(set()))
         planes.heal()
         planes.resume(victim.name)
         read = planes.get(victim.name)
@@ -403,20 +403,20 @@
 
     def test_a_seed_that_starts_late_or_dies_in_the_first_second(self):
         for seed in range(10):
-            for trouble in ("late", "kill", "wipe", "lose_power"):
+            for fault in ("late", "kill", "wipe", "lose_power"):
                 planes = ControlPlanes("abcd", seed, faults=1)
-                planes.kill("b") if trouble == "late" else planes.run(0.1 * seed)
-                if trouble == "late":
+                planes.kill("b") if fault == "late" else planes.run(0.1 * seed)
+                if fault == "late":
                     planes.run(1.0)
                     planes.start("b", bootstrap=True)
                 else:
-                    getattr(planes, trouble)("b")
+                    getattr(planes, fault)("b")
                     planes.run(1.0)
                     planes.start("b")
                 planes.run(SYNC + 1.0)
-                self.assertTrue(planes.is_settled(), (seed, trouble))
+                self.assertTrue(planes.is_settled(), (seed, fault))
                 self.assertThat(len(planes.state("a").voters), Equals(3))
-                self.assertThat(planes.finish(planes.put("b", 3)), Equals(200), (seed, trouble))
+                self.assertThat(planes.finish(planes.put("b", 3)), Equals(200), (seed, fault))
 
     def test_other_seeds_or_ones_that_are_cut_off_found_no_second_one(self):
         planes = ControlPlanes()
@@ -446,15 +446,15 @@
         sizes, sent = {}, {}
         planes = ControlPlanes("abc")
         planes.run(SYNC)
-        troubles = ("lose_power", "wipe", "stalled", "full", "isolate")
-        hurt = None
+        faults_played = ("lose_power", "wipe", "stalled", "full", "isolate")
+        fault = None
         for version in range(1, 501):
             self.assertThat(planes.finish(planes.put("ab"[version % 2], version)), Equals(200), version)
             if version % 50 == 20:
-                hurt = troubles[version // 50 % len(troubles)]
-                planes.set_disk("c", Disk(hurt)) if hurt in ("stalled", "full") else getattr(planes, hurt)("c")
+                fault = faults_played[version // 50 % len(faults_played)]
+                planes.set_disk("c", Disk(fault)) if fault in ("stalled", "full") else getattr(planes, fault)("c")
             if version % 50 == 40:
-                self.come_back(planes, hurt)
+                self.come_back(planes, fault)
             if version in (10, 100, 500):
                 planes.run(SYNC + UNUSED_RETENTION)
                 before, began = planes.bytes_sent, planes.now
@@ -468,7 +468,7 @@
         self.assertThat(sent[500], LessThan(sent[100] * 1.1))
         self.assertThat(History(planes).check(), Equals([]))
 
-    def come_back(self, planes, hurt):
+    def come_back(self, planes, fault):
         planes.heal()
         planes.set_disk("c", Disk.WORKING)
         if planes.machines["c"].replica is None:
@@ -478,6 +478,6 @@
             lambda: planes.state("c") is not None and planes.state("c").configuration == newest, SYNC
         )
         # A heartbeat each way, and the body.
-        self.assertThat(took, LessThan(2 * TICK + 6 * LINK_DELAY + 2 * DISK_DELAY + 0.02), hurt)
+        self.assertThat(took, LessThan(2 * TICK + 6 * LINK_DELAY + 2 * DISK_DELAY + 0.02), fault)
         planes.run(SYNC)
-        self.assertThat(planes.voters("a"), Equals("abc"), hurt)
+        self.assertThat(planes.voters("a"), Equals("abc"), fault)
--- a/tests/cluster/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -35,8 +35,8 @@
             self.assertThat([window.accept(number) for number in numbers], Equals(taken), numbers)
 
 
-class TestLives(testtools.TestCase):
-    def test_a_former_life_is_told_apart_and_a_wrong_guess_heals(self):
+class TestIncarnations(testtools.TestCase):
+    def test_a_former_incarnation_is_recognized_and_a_wrong_guess_heals(self):
         late = Incarnations.MAX_DELAY + 0.1
         for heard, holds in (
             ([(0, "a"), (1, "a")], [True, True]),
@@ -67,11 +67,11 @@
 
     def test_an_answer_is_taken_by_its_ask_alone(self):
         for changed, taken in self.CASES:
-            quota, ledger = QuotaClient("n", 7), CounterTable("c", 5)
+            quota, counter = QuotaClient("n", 7), CounterTable("c", 5)
             for incarnation in 4, 5:
                 quota.incarnations.setdefault("c", Incarnations()).accept(0.0, incarnation)
             count, _ = quota.request_add(0.1, TENANT, "c", NO_VERSION, "waits")
-            total = msgspec.structs.replace(ledger.add(0.1, count, NO_VERSION), **changed)
+            total = msgspec.structs.replace(counter.add(0.1, count, NO_VERSION), **changed)
             pending = quota.match(0.2, total)
             self.assertThat(pending is not None and pending.request == "waits", Equals(taken), changed)
             self.assertThat(quota.match(0.2, total), Equals(None), changed)  # doubled
@@ -88,27 +88,27 @@
             ({"request_id": 2, "counter": 1}, False),
             ({"request_id": 2, "incarnation": 3}, False),  # a former incarnation of the gateway
         ):
-            ledger, before, quota = CounterTable("c", 5), QuotaClient("n", 3), QuotaClient("n", 7)
-            ledger.add(0.0, before.request_add(0.0, TENANT, "c", NO_VERSION, None)[0], NO_VERSION)
+            counter, before, quota = CounterTable("c", 5), QuotaClient("n", 3), QuotaClient("n", 7)
+            counter.add(0.0, before.request_add(0.0, TENANT, "c", NO_VERSION, None)[0], NO_VERSION)
             count, _ = quota.request_add(0.1, TENANT, "c", NO_VERSION, None)
-            first = ledger.add(0.1, count, NO_VERSION)
-            again = ledger.add(0.1, msgspec.structs.replace(count, **changed), NO_VERSION)
+            first = counter.add(0.1, count, NO_VERSION)
+            again = counter.add(0.1, msgspec.structs.replace(count, **changed), NO_VERSION)
             self.assertThat(again is not None, Equals(counted), changed)
-            held = ledger.tenants["t"].tally.total
+            held = counter.tenants["t"].tally.total
             self.assertThat(held, Equals(first.current + counted), changed)
 
     def test_what_is_owed_is_neither_lost_nor_taken_twice(self):
         """Orders in which three adds arrive, some not at all: what was let past without asking is counted once."""
         for order in ([1, 2, 3], [1, 3], [1, 3, 2], [3], [2, 1, 3], [1, 3, 3]):
-            ledger, quota, counts = CounterTable("c", 5), QuotaClient("n", 7), {}
+            counter, quota, counts = CounterTable("c", 5), QuotaClient("n", 7), {}
             for number in 1, 2, 3:
                 counts[number], _ = quota.request_add(0.0, TENANT, "c", NO_VERSION, None)
                 for _ in range(4):
                     quota.admitted(0.0, TENANT, False)
                 quota.give_back(0.0, TENANT)
             for number in order:
-                ledger.add(0.0, counts[number], NO_VERSION)
-            tally = ledger.tenants["t"].tally
+                counter.add(0.0, counts[number], NO_VERSION)
+            tally = counter.tenants["t"].tally
             # Of the first that came `recent` says what went before; two times three were let past before the third.
             self.assertThat(tally.was + tally.total - len(set(order)), Equals(6.0), order)
 
@@ -118,7 +118,7 @@
 
     def __init__(self, seed):
         self.random, self.now, self.incarnation, self.held = Random(seed), 0.0, 0, []
-        self.proxies, self.ledger, self.waits, self.answers = {}, None, {}, {}
+        self.proxies, self.counter, self.waits, self.answers = {}, None, {}, {}
         self.added, self.known = {}, {}  # what was counted; incarnations of the counter that each proxy heard
         for name in "n1", "n2":
             self.start(name)
@@ -133,7 +133,7 @@
 
     def restart(self):
         self.incarnation += 1
-        self.ledger, self.added = CounterTable("c", self.incarnation), {}
+        self.counter, self.added = CounterTable("c", self.incarnation), {}
 
     def ask(self):
         name = self.random.choice(list(self.proxies))
@@ -152,7 +152,7 @@
 
     def count(self, count):
         key = count.node, count.incarnation, count.request_id
-        total = self.ledger.add(self.now, count, NO_VERSION)
+        total = self.counter.add(self.now, count, NO_VERSION)
         if total is None:
             return
         if key in self.added:
--- a/tests/cluster/test_golden.py
+++ b/tests/cluster/test_golden.py
@@ -74,11 +74,11 @@
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 ID, OLDER = ConfigurationId.of(7, b"seven"), ConfigurationId.of(6, b"six")
 MEMBERS = (Member("10.0.0.1", 1), Member("10.0.0.2", 1), Member("10.0.0.3", 99))
-BALLOT, HIGHER = ProposalNumber(3, 41), ProposalNumber(4, 17)
+NUMBER, HIGHER = ProposalNumber(3, 41), ProposalNumber(4, 17)
 STATE = ControlState(
     9, ID, (OLDER,), (ZoneEvacuation("z1", 2, True), ZoneEvacuation("z2", 1, False)), 2, MEMBERS, MEMBERS[:2], 5, 77
 )
-VOTE = Vote(MEMBERS[0], HIGHER, BALLOT, STATE)
+VOTE = Vote(MEMBERS[0], HIGHER, NUMBER, STATE)
 PLAN = Plan(
     "00000007-0000000000000abc",
     [Service("anaquel", 2.0, 10.0, 100)],
@@ -111,20 +111,20 @@
     "configuration update, plan held": (ConfigurationUpdate(9, None, []), decode_configuration_update),
     "registry update": (RegistryUpdate((5, 2), (5, 3), WORKERS, GATEWAYS, 1.5), decode_registry_update),
     "replica heartbeat": (
-        ReplicaHeartbeat("c1", MEMBERS[0], 41, 5, 17, 4, BALLOT, None, 9, True, True, False, True, (5, 3), True),
+        ReplicaHeartbeat("c1", MEMBERS[0], 41, 5, 17, 4, NUMBER, None, 9, True, True, False, True, (5, 3), True),
         decode,
     ),
     "replica heartbeat, default": (
-        ReplicaHeartbeat("c1", MEMBERS[0], 41, 5, 0, 0, None, BALLOT, 0, False, False, True, False, (0, 0)),
+        ReplicaHeartbeat("c1", MEMBERS[0], 41, 5, 0, 0, None, NUMBER, 0, False, False, True, False, (0, 0)),
         decode,
     ),
-    "prepare": (Prepare(BALLOT), decode),
-    "promise": (Promise(MEMBERS[1], HIGHER, BALLOT, STATE), decode),
+    "prepare": (Prepare(NUMBER), decode),
+    "promise": (Promise(MEMBERS[1], HIGHER, NUMBER, STATE), decode),
     "promise, nothing accepted": (Promise(MEMBERS[1], HIGHER, None, None), decode),
-    "accept": (Accept(BALLOT, STATE), decode),
-    "accepted": (Accepted(MEMBERS[2], BALLOT), decode),
-    "refusal": (Refusal(BALLOT, HIGHER), decode),
-    "decision": (Decision(BALLOT, STATE), decode),
+    "accept": (Accept(NUMBER, STATE), decode),
+    "accepted": (Accepted(MEMBERS[2], NUMBER), decode),
+    "refusal": (Refusal(NUMBER, HIGHER), decode),
+    "decision": (Decision(NUMBER, STATE), decode),
     "forwarded configuration": (ForwardedChange(3, 41, SetConfiguration(ID), 17, 5), decode),
     "forwarded evacuation": (ForwardedChange(3, 41, SetEvacuation("z1", True), 17, 5), decode),
     "forwarded term": (ForwardedChange(3, 41, BeginTerm(77, 4), 17, 5), decode),
@@ -174,7 +174,7 @@
     def __init__(self):
         self.digest, self.steps, self.lines = hashlib.sha256(), 0, []
 
-    def note(self, replica, now, event, returned):
+    def record(self, replica, now, event, returned):
         self.digest.update(f"{replica.context.settings.ip} {now:.6f}".encode())
         for value in (event, *returned):
             self.digest.update(LABELS[type(value)].encode())
@@ -191,7 +191,7 @@
         class RecordedReplica(Replica):
             def step(self, now, event):
                 returned = super().step(now, event)
-                recorder.note(self, now, event, returned)
+                recorder.record(self, now, event, returned)
                 return returned
 
         return RecordedReplica
@@ -206,7 +206,7 @@
     return recorder.lines
 
 
-def kept_lines(name):
+def golden_lines(name):
     return (GOLDEN / name).read_text(encoding="utf-8").splitlines()
 
 
@@ -220,25 +220,25 @@
 
 class TestGolden(testtools.TestCase):
     def test_messages_and_stored_forms_keep_their_bytes(self):
-        self.assertThat(all_forms(), Equals(kept_lines("messages.txt")))
+        self.assertThat(all_forms(), Equals(golden_lines("messages.txt")))
 
     def test_bytes_of_the_earlier_build_are_read(self):
-        for line in kept_lines("messages.txt"):
+        for line in golden_lines("messages.txt"):
             label, content = line.split("\t")
             value, read = FORMS[label]
             self.assertThat(read(bytes.fromhex(content)), Equals(value), label)
 
     def test_runs_take_the_same_decisions(self):
-        self.assertThat(all_runs(), Equals(kept_lines("replica_runs.txt")))
+        self.assertThat(all_runs(), Equals(golden_lines("replica_runs.txt")))
 
     def test_a_disk_of_the_earlier_build_is_read(self):
         """Its vote and its configuration, under the names of areas that it gave them."""
         folder = tempfile.mkdtemp()
         self.addCleanup(shutil.rmtree, folder)
         store = Store(folder)
-        kept = dict(line.split("\t") for line in kept_lines("messages.txt"))
-        store.save("vote", bytes.fromhex(kept["stored vote"]))
-        store.save("body-" + str(ID), bytes.fromhex(kept["stored body"]))
+        golden = dict(line.split("\t") for line in golden_lines("messages.txt"))
+        store.save("vote", bytes.fromhex(golden["stored vote"]))
+        store.save("body-" + str(ID), bytes.fromhex(golden["stored body"]))
         settings = ReplicaSettings("c1", "10.0.0.1", True, ("10.0.0.1",), 1)
         recovered = recover(Store(folder).load(), settings, False, 5)
         self.assertThat((recovered.vote, recovered.bodies, recovered.unreadable), Equals((VOTE, {ID: b"seven"}, [])))
--- a/tests/cluster/test_golden_routing.py
+++ b/tests/cluster/test_golden_routing.py
@@ -68,13 +68,13 @@
 
 
 class Run:
-    """A router, its counters and its workers, all driven by one seed. Commands are told apart by their fields alone."""
+    """A router, its counters and its workers, all driven by one seed. Commands are fields apart by their fields alone."""
 
     def __init__(self, seed):
         self.random, self.now, self.number = Random(seed), 10.0, 0
         self.router = RequestRouter(self.now, settings(), 1)
-        self.ledgers = {"n1": CounterTable("n1", 1), "n2": CounterTable("n2", 2), "n3": CounterTable("n3", 3)}
-        self.out, self.asked, self.totals = [], [], []
+        self.counters = {"n1": CounterTable("n1", 1), "n2": CounterTable("n2", 2), "n3": CounterTable("n3", 3)}
+        self.in_flight, self.arrived, self.totals = [], [], []
         self.revision, self.registry = 0, 0
         self.digest, self.steps, self.lines = hashlib.sha256(), 0, []
         self.configure()
@@ -90,16 +90,16 @@
 
     def record(self, command):
         if type(command) is commands.ForwardRequest:
-            self.out.append((command.number, command.attempt, command.worker))
-            told = (command.number, command.attempt, command.worker, command.address, command.tenant, command.timeout)
+            self.in_flight.append((command.number, command.attempt, command.worker))
+            fields = (command.number, command.attempt, command.worker, command.address, command.tenant, command.timeout)
         elif type(command) is commands.AnswerRequest:
-            told = (command.number, command.status, command.retry_after)
+            fields = (command.number, command.status, command.retry_after)
         elif type(command) is commands.RelayAnswer:
-            told = (command.number, command.outcome.dispatch, command.outcome.status)
+            fields = (command.number, command.outcome.dispatch, command.outcome.status)
         else:
             self.totals.append(command.count)
-            told = (command.ip, encode(command.count))
-        self.digest.update(repr(told).encode())
+            fields = (command.ip, encode(command.count))
+        self.digest.update(repr(fields).encode())
 
     def configure(self):
         self.revision += 1
@@ -131,17 +131,17 @@
         update = RegistryUpdate(NO_VERSION, (1, self.registry), workers, gateways, self.now)
         self.step(events.RegistryChanged(update))
 
-    def ask(self):
+    def arrive(self):
         self.number += 1
         host = self.random.choice(("h.example", "H.example", "h.example:80", "other"))
         left = self.random.choice((0.05, 0.5, 3.0))
         key, path = self.random.choice(KEYS), self.random.choice(PATHS)
-        self.asked.append(self.number)
+        self.arrived.append(self.number)
         self.step(events.RequestArrived(self.number, "GET", host, path, key, left))
 
     def end(self):
-        if self.out:
-            number, dispatch, worker = self.out.pop(self.random.randrange(len(self.out)))
+        if self.in_flight:
+            number, dispatch, worker = self.in_flight.pop(self.random.randrange(len(self.in_flight)))
             end, status, sent = self.random.choice(FATES)
             self.step(Outcome(number, dispatch, worker, end, 100, b"x", (), status, sent))
 
@@ -150,27 +150,27 @@
         if not self.totals:
             return
         count = self.totals.pop(self.random.randrange(len(self.totals)))
-        for ledger in self.ledgers.values():
-            total = ledger.add(self.now, count, (1, self.registry))
+        for counter in self.counters.values():
+            total = counter.add(self.now, count, (1, self.registry))
             if total is not None and self.random.random() < 0.9:
                 self.digest.update(encode(total))
                 self.step(events.CountAnswered(total))
 
-    def leave(self):
-        if self.asked:
-            self.step(events.ClientGone(self.asked.pop(self.random.randrange(len(self.asked)))))
+    def go_away(self):
+        if self.arrived:
+            self.step(events.ClientGone(self.arrived.pop(self.random.randrange(len(self.arrived)))))
 
     def restart_counter(self):
         name = self.random.choice(("n1", "n2", "n3"))
-        self.ledgers[name] = CounterTable(name, self.random.getrandbits(20))
+        self.counters[name] = CounterTable(name, self.random.getrandbits(20))
 
     def pass_time(self):
         self.now += self.random.choice((0.001, 0.01, 0.01, 0.05, 0.3))
         self.step(events.Tick())
 
     def play(self):
-        choices = [self.ask] * 30 + [self.end] * 28 + [self.count] * 24 + [self.pass_time] * 24
-        choices += [self.leave, self.configure, self.register]
+        choices = [self.arrive] * 30 + [self.end] * 28 + [self.count] * 24 + [self.pass_time] * 24
+        choices += [self.go_away, self.configure, self.register]
         for _ in range(STEPS):
             self.random.choice(choices)()
             if self.random.random() < 0.002:
--- a/tests/cluster/test_listener.py
+++ b/tests/cluster/test_listener.py
@@ -14,7 +14,7 @@
 from fernyard.lab.runner import free_port
 from fernyard.log import Counts
 
-from .test_configuration import TOLD
+from .test_configuration import SETTINGS_FIELDS
 
 
 class TestPace(testtools.TestCase):
@@ -32,7 +32,7 @@
         """Its next request came while a pause after the last piece was kept: it was never read."""
 
         async def run():
-            told = settings.parse({**TOLD, "caps": {"linkMbps": 100.0, "maxFds": 1000}})
+            told = settings.parse({**SETTINGS_FIELDS, "caps": {"linkMbps": 100.0, "maxFds": 1000}})
             bounds = limits(told)
             body = bytes(range(256)) * 400
 
--- a/tests/cluster/test_path.py
+++ b/tests/cluster/test_path.py
@@ -199,7 +199,7 @@
 
     def test_framing(self):
         """A request that two readers could read in two ways is no request, and what stands behind it is not read."""
-        for name, told in (
+        for name, headers in (
             ("a length and chunks", {"Transfer_Encoding": "chunked", "Content_Length": "3"}),
             ("another coding", {"Transfer_Encoding": "gzip, chunked", "Content_Length": None}),
             ("two lengths", {"Content_Length": "3\r\nContent-Length: 4"}),
@@ -209,9 +209,9 @@
             ("two keys", {"X": "y\r\nKey: k"}),
         ):
 
-            async def run(made, told=told):
+            async def run(made, headers=headers):
                 hidden = made.head("hidden", "/w/hidden", Connection="close")
-                got = await raw(made, made.head("a", "/w/x", **told) + b"3\r\nabc\r\n0\r\n\r\n" + hidden, 3)
+                got = await raw(made, made.head("a", "/w/x", **headers) + b"3\r\nabc\r\n0\r\n\r\n" + hidden, 3)
                 return got, made.workers[0].ran
 
             got, ran = self.play(run)
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -30,7 +30,7 @@
     """Proxies, one counter, a delay between them; the counter may be silent, or lose what it holds."""
 
     def __init__(self, count, delay, seed=1):
-        self.ledger, self.delay, self.random = CounterTable("c", 1), delay, random.Random(seed)
+        self.counter, self.delay, self.random = CounterTable("c", 1), delay, random.Random(seed)
         self.proxies = [QuotaClient(f"n{number}", number) for number in range(count)]
         self.post, self.passed, self.refused = [], [], 0
 
@@ -39,7 +39,7 @@
         while now < seconds:
             now += step
             if lost_at is not None and now >= lost_at:
-                self.ledger, lost_at = CounterTable("c", 2), None
+                self.counter, lost_at = CounterTable("c", 2), None
             quiet = silent_from <= now < silent_to
             for _ in range(int(rate * step + self.random.random())):
                 number = 0 if self.random.random() < skew else self.random.randrange(len(self.proxies))
@@ -52,7 +52,7 @@
             self.post = [item for item in self.post if item[0] > now]
             for at, kind, proxy, message, *more in due:
                 if kind == "count":
-                    total = self.ledger.add(now, message, NO_VERSION)
+                    total = self.counter.add(now, message, NO_VERSION)
                     if not quiet:
                         self.post.append((now + self.delay, "total", proxy, total))
                 elif kind == "total":
@@ -110,19 +110,19 @@
         """A counter that lost all holds at once what each proxy tells with its first add."""
         fleet, tenant = Fleet(4, 0.01), Tenant("t", None, 100, 100, [])
         fleet.play(tenant, 90, 3.0)
-        fleet.ledger = CounterTable("c", 2)
+        fleet.counter = CounterTable("c", 2)
         for proxy in fleet.proxies:
             count, _ = proxy.request_add(3.0, tenant, "c", NO_VERSION, None)
-            total = fleet.ledger.add(3.0, count, NO_VERSION)
+            total = fleet.counter.add(3.0, count, NO_VERSION)
         self.assertTrue(total.previous > 60, total)
 
     def test_units_past_the_limit_are_not_kept(self):
-        ledger, quota = CounterTable("c", 1), QuotaClient("n", 1)
+        counter, quota = CounterTable("c", 1), QuotaClient("n", 1)
         tenant = Tenant("t", None, 4, 4, [])
         totals = []
         for _ in range(40):
             count, _ = quota.request_add(0.0, tenant, "c", NO_VERSION, None)
-            totals.append(ledger.add(0.0, count, NO_VERSION).current)
+            totals.append(counter.add(0.0, count, NO_VERSION).current)
         self.assertThat(max(totals), Equals(totals[-1]))
         self.assertTrue(totals[-1] <= bucket_of(4, 4).limit + 1.0)
 
--- a/tests/cluster/test_router.py
+++ b/tests/cluster/test_router.py
@@ -23,26 +23,26 @@
 from fernyard.workers import Outcome
 
 
-def route(name, prefix, kind="idempotent", **told):
+def route(name, prefix, kind="idempotent", **fields):
     return Route(
         name,
         prefix,
         kind,
-        told.get("timeout", 3.0),
+        fields.get("timeout", 3.0),
         0.8,
         1,
-        told.get("split", [("s", 1.0)]),
-        told.get("tries", 2),
-        told.get("public", False),
-        told.get("homes", []),
+        fields.get("split", [("s", 1.0)]),
+        fields.get("tries", 2),
+        fields.get("public", False),
+        fields.get("homes", []),
     )
 
 
-def plan(version=5, **told):
+def plan(version=5, **fields):
     return Plan(
         f"{version:08x}-1",
         [Service("s", 3.0, 12.0, 100), Service("other", 3.0, 12.0, 100)],
-        told.get(
+        fields.get(
             "hosts",
             {
                 "h.example": [
@@ -56,7 +56,7 @@
             },
         ),
         [Tenant("free", None, 0, 0, []), Tenant("few", None, 2.0, 2.0, []), Tenant("homed", None, 0, 0, ["r1"])],
-        told.get("keys", {"k-free": 0, "k-few": 1, "k-homed": 2}),
+        fields.get("keys", {"k-free": 0, "k-few": 1, "k-homed": 2}),
         True,
         16384,
         1000,
@@ -87,19 +87,19 @@
 class Bench:
     """One router with news; `ask` gives a request, `end` tells how its last dispatch ended."""
 
-    def __init__(self, workers=WORKERS, gateways=GATEWAYS, **told):
-        self.now, self.number, self.orders = 10.0, 0, []
+    def __init__(self, workers=WORKERS, gateways=GATEWAYS, **fields):
+        self.now, self.number, self.executed = 10.0, 0, []
         self.router = RequestRouter(self.now, settings(), 1)
-        self.tell(events.ConfigurationChanged(ConfigurationUpdate(1, plan(**told), [])))
-        self.tell(events.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), dict(workers), dict(gateways), self.now)))
-
-    def tell(self, event):
-        orders = self.router.step(self.now, event)
-        self.orders += orders
-        for order in orders:
-            if type(order) is commands.SendCount and order.ip is None:
-                count = order.count
-                self.tell(
+        self.handle(events.ConfigurationChanged(ConfigurationUpdate(1, plan(**fields), [])))
+        self.handle(events.RegistryChanged(RegistryUpdate(NO_VERSION, (1, 1), dict(workers), dict(gateways), self.now)))
+
+    def handle(self, event):
+        returned = self.router.step(self.now, event)
+        self.executed += returned
+        for command in returned:
+            if type(command) is commands.SendCount and command.ip is None:
+                count = command.count
+                self.handle(
                     events.CountAnswered(
                         Total(
                             count.request_id,
@@ -113,29 +113,33 @@
                         )
                     )
                 )
-        return orders
+        return returned
 
     def counted(self, count):
         return 1.0
 
-    def ask(self, path="/r/x", key="k-free", host="h.example", left=3.0):
+    def arrive(self, path="/r/x", key="k-free", host="h.example", left=3.0):
         self.number += 1
-        self.tell(events.RequestArrived(self.number, "GET", host, path, key, left))
+        self.handle(events.RequestArrived(self.number, "GET", host, path, key, left))
         return self.number
 
     def sends(self, number):
-        return [order for order in self.orders if type(order) is commands.ForwardRequest and order.number == number]
+        return [
+            command
+            for command in self.executed
+            if type(command) is commands.ForwardRequest and command.number == number
+        ]
 
     def end(self, number, end, status=0):
         send = self.sends(number)[-1]
-        self.tell(Outcome(number, send.attempt, send.worker, end, 100, b"x", (), status))
+        self.handle(Outcome(number, send.attempt, send.worker, end, 100, b"x", (), status))
 
     def final(self, number):
         """The status that the client got, or None yet; never two."""
         answers = [
-            order.status if type(order) is commands.AnswerRequest else order.outcome.status
-            for order in self.orders
-            if type(order) in (commands.AnswerRequest, commands.RelayAnswer) and order.number == number
+            command.status if type(command) is commands.AnswerRequest else command.outcome.status
+            for command in self.executed
+            if type(command) in (commands.AnswerRequest, commands.RelayAnswer) and command.number == number
         ]
         if len(answers) > 1:
             raise AssertionError(f"answered twice: {answers}")
@@ -143,7 +147,7 @@
 
     def later(self, seconds):
         self.now += seconds
-        self.tell(events.Tick())
+        self.handle(events.Tick())
 
 
 # Where a request goes: (path, key, host) -> services it may be sent to, or the status it gets at once.
@@ -184,7 +188,7 @@
     def test_routed(self):
         for (path, key, host), wanted in ROUTED.items():
             bench = Bench()
-            number = bench.ask(path, key, host)
+            number = bench.arrive(path, key, host)
             sends = bench.sends(number)
             told = WORKERS[sends[0].worker].service if sends else bench.final(number)
             self.assertThat(told, Equals(wanted), (path, key, host))
@@ -192,7 +196,7 @@
     def test_ended(self):
         for (name, told), (outcomes, status, sent) in ENDED.items():
             bench = Bench()
-            number = bench.ask(PATHS[name])
+            number = bench.arrive(PATHS[name])
             for end, answered in outcomes:
                 bench.end(number, end, answered)
             self.assertThat((bench.final(number), len(bench.sends(number))), Equals((status, sent)), (name, told))
@@ -200,21 +204,21 @@
 
     def test_a_worker_is_asked_once_by_one_request(self):
         bench = Bench()
-        number = bench.ask()
+        number = bench.arrive()
         bench.end(number, End.RESET)
         self.assertThat(len({send.worker for send in bench.sends(number)}), Equals(2))
 
     def test_homes_of_route_and_tenant_both_bind(self):
         for path, key, wanted in (("/h/x", "k-free", "w3"), ("/h/x", "k-homed", 503)):
             bench = Bench()
-            number = bench.ask(path, key)
+            number = bench.arrive(path, key)
             sends = bench.sends(number)
             self.assertThat(sends[0].worker if sends else bench.final(number), Equals(wanted), (path, key))
 
     def test_near_first(self):
         bench = Bench()
         for _ in range(4):
-            self.assertIn(bench.sends(bench.ask())[0].worker, ("w1", "w2"))
+            self.assertIn(bench.sends(bench.arrive())[0].worker, ("w1", "w2"))
 
     def test_nothing_goes_to_draining_evacuated_or_cold_beyond_its_part(self):
         for case in "draining", "evacuated", "cold":
@@ -226,46 +230,46 @@
             }
             bench = Bench(workers)
             if case == "evacuated":
-                bench.tell(events.ConfigurationChanged(ConfigurationUpdate(2, None, ["z1"])))
-            sent = sum(bool(bench.sends(bench.ask())) for _ in range(20))
+                bench.handle(events.ConfigurationChanged(ConfigurationUpdate(2, None, ["z1"])))
+            sent = sum(bool(bench.sends(bench.arrive())) for _ in range(20))
             self.assertTrue(sent <= (2 if case == "cold" else 0), (case, sent))
 
     def test_taken_back_zone_is_cold_at_first(self):
         bench = Bench({name: WORKERS[name] for name in ("w1", "w2")})
-        bench.tell(events.ConfigurationChanged(ConfigurationUpdate(2, None, ["z1"])))
+        bench.handle(events.ConfigurationChanged(ConfigurationUpdate(2, None, ["z1"])))
         bench.now += 20.0
-        bench.tell(events.ConfigurationChanged(ConfigurationUpdate(3, None, [])))
-        sent = sum(bool(bench.sends(bench.ask())) for _ in range(20))
+        bench.handle(events.ConfigurationChanged(ConfigurationUpdate(3, None, [])))
+        sent = sum(bool(bench.sends(bench.arrive())) for _ in range(20))
         self.assertTrue(0 < sent <= 2, sent)
         bench.now += 10.0
-        self.assertTrue(bench.sends(bench.ask()))
+        self.assertTrue(bench.sends(bench.arrive()))
 
     def test_a_dark_worker_costs_a_repeatable_request_some_usual_times_not_its_deadline(self):
         bench = Bench()
-        number = bench.ask()
+        number = bench.arrive()
         bench.later(1.0)
         self.assertThat(len(bench.sends(number)), Equals(2))
         bench.end(number, End.PASSED, 200)
         self.assertThat(bench.final(number), Equals(200))
-        mutating = bench.ask("/w/x")
+        mutating = bench.arrive("/w/x")
         bench.later(2.0)
         self.assertThat(len(bench.sends(mutating)), Equals(1))
 
     def test_a_second_answer_after_the_first_is_nobodys(self):
         bench = Bench()
-        number = bench.ask()
+        number = bench.arrive()
         bench.later(1.0)
         first, second = bench.sends(number)
-        bench.tell(Outcome(number, first.attempt, first.worker, End.PASSED, 100, b"x", (), 200))
-        bench.tell(Outcome(number, second.attempt, second.worker, End.PASSED, 100, b"y", (), 200))
+        bench.handle(Outcome(number, first.attempt, first.worker, End.PASSED, 100, b"x", (), 200))
+        bench.handle(Outcome(number, second.attempt, second.worker, End.PASSED, 100, b"y", (), 200))
         self.assertThat(bench.final(number), Equals(200))
         self.assertThat(bench.router.requests, Equals({}))
 
     def test_never_back_to_an_older_configuration(self):
         bench = Bench()
-        bench.tell(events.ConfigurationChanged(ConfigurationUpdate(9, plan(9, hosts={"h.example": []}), [])))
-        bench.tell(events.ConfigurationChanged(ConfigurationUpdate(7, plan(7), [])))
-        self.assertThat(bench.final(bench.ask()), Equals(404))
+        bench.handle(events.ConfigurationChanged(ConfigurationUpdate(9, plan(9, hosts={"h.example": []}), [])))
+        bench.handle(events.ConfigurationChanged(ConfigurationUpdate(7, plan(7), [])))
+        self.assertThat(bench.final(bench.arrive()), Equals(404))
 
     def test_before_any_configuration_nobody_is_told_404(self):
         router = RequestRouter(0.0, settings(), 1)
@@ -276,8 +280,8 @@
     def test_quota_refuses_past_the_limit_with_a_time(self):
         bench = Bench()
         bench.counted = lambda count: count.limit + 1.0
-        number = bench.ask(key="k-few")
-        answer = bench.orders[-1]
+        number = bench.arrive(key="k-few")
+        answer = bench.executed[-1]
         self.assertThat((bench.final(number), answer.retry_after > 0), Equals((429, True)))
 
     def test_what_never_ran_gives_its_unit_back(self):
@@ -285,11 +289,11 @@
         bench = Bench()
         told = []
         bench.counted = lambda count: told.append(count.owed) or 1.0
-        number = bench.ask("/w/x", "k-few")
+        number = bench.arrive("/w/x", "k-few")
         bench.end(number, End.FULL, 503)
         bench.end(number, End.FULL, 503)
         self.assertThat(bench.final(number), Equals(503))
-        bench.ask("/r/x", "k-few")
+        bench.arrive("/r/x", "k-few")
         self.assertThat(told, Equals([0.0, -1.0]))
 
     def test_silent_counter(self):
@@ -298,7 +302,7 @@
             f"n{number}": GatewayAddress(f"n{number}", f"ip{number}", "z2", "r1", "", True) for number in range(2, 6)
         }
         bench = Bench(gateways=gateways)
-        numbers = [bench.ask(key="k-few") for _ in range(12)]
+        numbers = [bench.arrive(key="k-few") for _ in range(12)]
         self.assertThat([bench.final(number) for number in numbers], Equals([None] * 12))
         bench.later(0.5)
         sent = sum(bool(bench.sends(number)) for number in numbers)
--- a/tests/cluster/test_soft_state.py
+++ b/tests/cluster/test_soft_state.py
@@ -1,4 +1,4 @@
-"""Soft state that is told again: the lease, the registry, how news reaches a zone, who watches whom."""
+"""Soft state that is told again: the lease, the registry, how update reaches a zone, who watches whom."""
 
 import testtools
 from testtools.matchers import Equals
@@ -118,17 +118,17 @@
 
 class TestRegistry(testtools.TestCase):
     def follow(self, follower, leader, now=0.0, shift=0.0):
-        news = decode_registry_update(encode(leader.since(follower.version, now)))
-        return follower.follow(news, now + shift)
+        update = decode_registry_update(encode(leader.since(follower.version, now)))
+        return follower.follow(update, now + shift)
 
     def test_snapshot_then_changes(self):
         leader, follower = Registry(), Registry()
         leader.write(1, {"w1": worker(1), "w2": worker(2)}, {})
         self.assertTrue(self.follow(follower, leader))
         leader.write(1, {"w2": worker(2, draining=True), "w3": worker(3)}, {})
-        news = leader.since(follower.version, 0.0)
-        self.assertThat(sorted(news.workers), Equals(["w1", "w2", "w3"]))
-        self.assertThat(news.workers["w1"], Equals(None))
+        update = leader.since(follower.version, 0.0)
+        self.assertThat(sorted(update.workers), Equals(["w1", "w2", "w3"]))
+        self.assertThat(update.workers["w1"], Equals(None))
         self.assertTrue(self.follow(follower, leader))
         self.assertThat(follower.workers, Equals(leader.workers))
         self.assertFalse(leader.write(1, dict(leader.workers), {}))
@@ -143,11 +143,11 @@
         for step in range(6):
             leader.write(1, {f"w{number}": worker(number, draining=number <= step) for number in range(50 - step)}, {})
             self.follow(follower if step % 2 else between, leader)
-        news = between.since(follower.version, 0.0)
+        update = between.since(follower.version, 0.0)
         self.follow(between, leader)
-        news = between.since((1, 3), 0.0)
-        self.assertThat(news.since, Equals((1, 3)))
-        self.assertTrue(0 < len(news.workers) < 12, news.workers)
+        update = between.since((1, 3), 0.0)
+        self.assertThat(update.since, Equals((1, 3)))
+        self.assertTrue(0 < len(update.workers) < 12, update.workers)
         self.assertTrue(self.follow(follower, between) or follower.version == between.version)
         self.assertThat(follower.workers, Equals(leader.workers))
 
