--- a/fernyard/cluster/control_plane/operator_calls.py
+++ b/fernyard/cluster/control_plane/operator_calls.py
@@ -158,10 +158,6 @@
         now = self.context.now
         return any(call.change is None and now - call.since > patience for call in self.pending.values())
 
-    def waiting_reads(self) -> list[tuple[int, Call]]:
-        """(ticket, call) of each read that waits."""
-        return [(ticket, call) for ticket, call in self.pending.items() if call.change is None]
-
     def follow_up(self, ticket: int, call: Call) -> None:
         """Completes a change that was decided elsewhere; proposes one that the lease holder did not get decided."""
         change, waited = call.change, self.context.now - call.since
--- a/tests/cluster/control_planes.py
+++ b/tests/cluster/control_planes.py
@@ -3,7 +3,7 @@
 
 import heapq
 import random
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from enum import Enum
 from functools import partial
 from typing import Any
@@ -434,10 +434,9 @@
         """Machines whose processes are up and not suspended."""
         return [machine for machine in self.machines.values() if machine.is_running()]
 
-    def lease_holder(self, among: Iterable[Machine] | None = None) -> Machine:
+    def lease_holder(self) -> Machine:
         """The machine that holds the lease, of those that run."""
-        machines = self.running() if among is None else among
-        return next(machine for machine in machines if machine.replica.lease_held)
+        return next(machine for machine in self.running() if machine.replica.lease_held)
 
     def state(self, name: str) -> Any:
         """The state that a machine knows to be decided, or None."""
